--- a/bench/bench_control.c
+++ b/bench/bench_control.c
@@ -68,11 +68,11 @@
     .domains = DOMAINS,
     .regions = REGIONS,
     .seeds = SEEDS,
-    .strong_each = STRONG_EACH,
+    .large_vms_per_domain = STRONG_EACH,
   };
   Fleet *fleet = fleet_new (&layout);
   for (guint t = 0; t < count * TARGETS_EACH; t++)
-    fleet_write (fleet, t);
+    fleet_write_target (fleet, t);
   return fleet;
 }
 
@@ -82,7 +82,8 @@
   guint watchers = 0;
   for (guint i = 0; i < fleet->layout.count; i++)
     if (fleet->nodes[i].membership)
-      watchers += mr_watch_relay (fleet->nodes[i].roster, fleet->nodes[i].self.name) ? 1 : 0;
+      watchers +=
+          mr_watch_is_relay_watcher (fleet->nodes[i].roster, fleet->nodes[i].self.name) ? 1 : 0;
   return watchers;
 }
 
@@ -97,7 +98,7 @@
     WATCH_SECONDS = 28,
     KINDS = 2,
   };
-  double read_gap = (double) mr_watch_read_gap (fleet->layout.count) / (double) MR_SECOND;
+  double read_gap = (double) mr_watch_read_interval (fleet->layout.count) / (double) MR_SECOND;
   double watch = KINDS * (1 + (double) DAY_SECONDS / WATCH_SECONDS);
   return watchers * watch + (fleet->layout.count - watchers) * KINDS * DAY_SECONDS / read_gap;
 }
@@ -107,7 +108,7 @@
 {
   Fleet *fleet = S_fleet (count);
   fleet_start_all (fleet, 300 * MR_MS, FALSE);
-  MrTime agreed = fleet_run_until (fleet, fleet_agrees, WAIT_MOST);
+  MrTime agreed = fleet_run_until (fleet, fleet_converged, WAIT_MOST);
   fleet_run (fleet, 30 * MR_SECOND);
   fleet_clear_counts (fleet);
   double cpu = S_cpu_seconds ();
@@ -117,7 +118,7 @@
   double bytes = S_wire_bytes (fleet, FALSE);
   double across = S_wire_bytes (fleet, TRUE);
   double messages = S_messages (fleet);
-  fleet_write (fleet, 0);
+  fleet_write_target (fleet, 0);
   MrTime change = fleet_run_until (fleet, fleet_objects_agree, WAIT_MOST);
   fleet_kill (fleet, count / 2);
   MrTime death = fleet_run_until (fleet, fleet_members_agree, WAIT_MOST);
@@ -136,7 +137,7 @@
   guint count = fleet->layout.count * TARGETS_EACH * 2 / 5;
   for (guint i = 0; i < count; i++)
     {
-      fleet_write (fleet, i);
+      fleet_write_target (fleet, i);
       if (i % MAX (count / 100, 1) == 0)
         fleet_run (fleet, 100 * MR_MS);
     }
@@ -156,11 +157,11 @@
   fleet_start_all (fleet, 300 * MR_MS, FALSE);
   fleet_run (fleet, 20 * MR_SECOND);
   MrTime begin = fleet->now;
-  fleet->reads = 0;
+  fleet->store_reads = 0;
   fleet_clear_counts (fleet);
   fleet_restart_all (fleet, 300 * MR_MS, TRUE);
   MrTime ready = fleet_run_until (fleet, fleet_all_ready, WAIT_MOST);
-  MrTime started = fleet_run_until (fleet, fleet_agrees, WAIT_MOST);
+  MrTime started = fleet_run_until (fleet, fleet_converged, WAIT_MOST);
   fleet_run (fleet, 20 * MR_SECOND);
   S_replace_targets (fleet);
   MrTime replaced = fleet_run_until (fleet, fleet_objects_agree, WAIT_MOST);
@@ -171,13 +172,13 @@
   fleet_cut_regions (fleet, TRUE);
   fleet_run (fleet, 30 * MR_SECOND);
   fleet_cut_regions (fleet, FALSE);
-  MrTime healed = fleet_run_until (fleet, fleet_agrees, WAIT_MOST);
+  MrTime healed = fleet_run_until (fleet, fleet_converged, WAIT_MOST);
   fleet_run (fleet, 20 * MR_SECOND);
   double each = count * S_seconds (fleet->now - begin);
   printf ("%7u %9.2f %9.2f %9.2f %9.2f %9.2f %9.0f %9.0f %9" G_GUINT64_FORMAT "\n", count,
           S_seconds (ready), S_seconds (started), S_seconds (replaced), S_seconds (rack),
           S_seconds (healed), S_wire_bytes (fleet, FALSE) / each, S_wire_bytes (fleet, TRUE) / each,
-          fleet->reads);
+          fleet->store_reads);
   printf ("        kB a daemon, inside/across:");
   for (int kind = 0; kind < MR_TRAFFIC_KINDS; kind++)
     if (fleet->messages[kind][0] + fleet->messages[kind][1] > 0)
--- a/bench/bench_relay.c
+++ b/bench/bench_relay.c
@@ -1,6 +1,6 @@
 /* make bench: the relay's decisions beside simpler ones, on the same seeds.
  *
- * A fleet and its targets on the virtual clock of test/relay_world.c.  Credit is
+ * A fleet and its targets on the virtual clock of test/relay_sim.c.  Credit is
  * what callers are served of what they asked: the share of the shards squared,
  * a tenth of it when late.  Mean of REPEATS seeds, least and most beside it. */
 
@@ -18,17 +18,18 @@
 typedef struct
 {
   const char *name;
-  WorldPlan plan;
+  SimPlan plan;
 } Scenario;
 
 static const Scenario scenarios[] = {
   { "calm", { SITE } },
-  { "a sixth slow", { SITE, .events = { { WORLD_SLOW, 0, 29, 6, 3000, 0, 8 } } } },
-  { "a dark shard", { SITE, .events = { { WORLD_DARK, 0, 2, 1, 3000, 0, 0 } } } },
-  { "a third shed", { SITE, .events = { { WORLD_SHEDS, 0, 29, 3, 3000, 0, 0.45 } } } },
+  { "a sixth slow", { SITE, .faults = { { SIM_FAULT_SLOW, 0, 29, 6, 3000, 0, 8 } } } },
+  { "a dark shard", { SITE, .faults = { { SIM_FAULT_UNRESPONSIVE, 0, 2, 1, 3000, 0, 0 } } } },
+  { "a third shed", { SITE, .faults = { { SIM_FAULT_SHEDS, 0, 29, 3, 3000, 0, 0.45 } } } },
   { "a needed shard over full",
-    { NEEDY_SITE_AT (177, 59), .events = { { WORLD_GONE, 0, 1, 1, 1000, 0, 0 } } } },
-  { "three times the load", { SITE_AT (447, 144) } },
+    { HIGH_COVERAGE_SITE_WITH_RATES (177, 59),
+      .faults = { { SIM_FAULT_REMOVED, 0, 1, 1, 1000, 0, 0 } } } },
+  { "three times the load", { SITE_WITH_RATES (447, 144) } },
 };
 
 typedef enum
@@ -48,17 +49,17 @@
 };
 
 static void
-S_vary (WorldPlan *plan, Variant variant, MrRelayPolicy *policy)
+S_vary (SimPlan *plan, Variant variant, MrRelayPolicy *policy)
 {
   *policy = mr_relay_policy;
   plan->policy = policy;
   if (variant == WAIT_FOR_ALL)
     for (guint i = 0; i < KINDS; i++)
-      plan->routes[i].least_share = 1;
+      plan->routes[i].min_coverage = 1;
   if (variant == NO_SECOND_SENDS)
     plan->attempts = 1;
   if (variant == NEAREST_ONLY)
-    policy->far_cost = 1e9;
+    policy->cross_domain_cost = 1e9;
 }
 
 typedef struct
@@ -85,25 +86,26 @@
   Spread far = { 0 };
   for (guint repeat = 0; repeat < REPEATS; repeat++)
     {
-      WorldPlan plan = scenario->plan;
-      WorldResult result;
+      SimPlan plan = scenario->plan;
+      SimResult result;
       MrRelayPolicy policy;
       S_vary (&plan, variant, &policy);
       plan.seed += repeat;
-      world_run (&plan, &result);
+      sim_run (&plan, &result);
       guint asked = 0;
       guint turned_away = 0;
       for (guint k = 0; k < KINDS; k++)
         {
-          const WorldKind *kind = &result.kinds[k];
-          S_add (&credit[k], repeat, kind->credit / MAX (kind->asked, 1));
-          asked += kind->asked;
+          const SimRouteStats *kind = &result.routes[k];
+          S_add (&credit[k], repeat, kind->utility / MAX (kind->requests, 1));
+          asked += kind->requests;
           turned_away += kind->refused;
         }
       double first = (double) MAX (result.first_calls, 1);
       S_add (&refused, repeat, (double) turned_away / MAX (asked, 1));
       S_add (&extra, repeat, (double) result.extra_calls / first);
-      S_add (&far, repeat, (double) result.far_calls / (first + (double) result.extra_calls));
+      S_add (&far, repeat,
+             (double) result.cross_domain_calls / (first + (double) result.extra_calls));
     }
   printf ("%-25s %-22s %5.3f [%5.3f %5.3f] %5.3f [%5.3f %5.3f] %7.3f %6.3f %6.3f\n", scenario->name,
           variant_names[variant], credit[0].mean, credit[0].least, credit[0].most, credit[1].mean,
--- a/bench/world.c
+++ b/bench/world.c
@@ -986,7 +986,7 @@
     .start_call = S_start_call,
     .cancel_call = S_cancel_call,
     .probe = S_probe,
-    .renew = S_renew,
+    .reconnect = S_renew,
     .done = S_done,
   };
   daemon->world = w;
--- a/src/batch.c
+++ b/src/batch.c
@@ -25,7 +25,7 @@
 mr_batch_content (const char *service, gboolean order, MrText query, guint64 content_key)
 {
   const MrText texts[] = { mr_text (order ? "order" : "search"), mr_text (service), query };
-  return mr_fingerprint (texts, G_N_ELEMENTS (texts), content_key);
+  return mr_fingerprint_compute (texts, G_N_ELEMENTS (texts), content_key);
 }
 
 MrBatch *
--- a/src/joining.c
+++ b/src/bootstrap.c
@@ -1,4 +1,4 @@
-#include "joining.h"
+#include "bootstrap.h"
 
 /* At the first start of all, most would take themselves for a watcher before they
  * hear of the others, and ask the store for everything: 63 calls on a calm day of 6
@@ -35,19 +35,19 @@
 static const MrTime ASK_GAP = 20 * MR_MS;
 
 void
-mr_joining_init (MrJoining *joining, MrTime now, const MrJoiningInfo *info)
+mr_bootstrap_init (MrBootstrap *joining, MrTime now, const MrBootstrapOptions *info)
 {
   MrTime wait = (MrTime) (info->random * (double) WATCH_WAIT);
   gboolean small = info->capacity < MR_SMALL_CAPACITY;
-  *joining = (MrJoining){
+  *joining = (MrBootstrap){
     .started = now,
-    .alone = info->alone,
+    .no_other_seeds = info->no_other_seeds,
     .first_start = info->first_start,
-    .watch_wait = info->first_start ? FIRST_WATCH_WAIT : wait,
-    .lone_wait = info->first_start ? FIRST_WATCH_WAIT : wait + (small ? SEEDS_WAIT : 0),
+    .watcher_wait = info->first_start ? FIRST_WATCH_WAIT : wait,
+    .no_peer_wait = info->first_start ? FIRST_WATCH_WAIT : wait + (small ? SEEDS_WAIT : 0),
     .sync_wait = (info->first_start ? FIRST_WATCH_WAIT : 0) + SYNC_WAIT,
-    .ask_gap = ASK_GAP,
-    .place = info->random,
+    .ask_interval = ASK_GAP,
+    .start_position = info->random,
   };
 }
 
@@ -63,12 +63,12 @@
  * fittest first; NULL if there is none.  All that start together would ask the same
  * one otherwise, and its link would be busy for as long as it answers them. */
 static const MrMember *
-S_next_peer (const MrJoining *joining, const MrRoster *roster, const char *self)
+S_next_peer (const MrBootstrap *joining, const MrRoster *roster, const char *self)
 {
   const MrMember *own = mr_roster_find (roster, self);
   const MrMember *best = NULL;
   guint count = mr_roster_count (roster);
-  guint first = (guint) (joining->place * count) + joining->asked;
+  guint first = (guint) (joining->start_position * count) + joining->ask_count;
   for (guint i = 0; i < count; i++)
     {
       const MrMember *member = mr_roster_at (roster, (first + i) % count);
@@ -82,60 +82,60 @@
 }
 
 static void
-S_note_members (MrJoining *joining, MrTime now, guint count)
+S_note_members (MrBootstrap *joining, MrTime now, guint count)
 {
-  if (count <= joining->members)
+  if (count <= joining->members_max)
     return;
-  joining->members = count;
-  joining->grew_at = now;
+  joining->members_max = count;
+  joining->last_growth_at = now;
 }
 
 /* From when all others that start too are taken to be known; 0: they are not waited for. */
 static MrTime
-S_grown (const MrJoining *joining)
+S_grown (const MrBootstrap *joining)
 {
   if (!joining->first_start)
     return 0;
-  return MIN (joining->grew_at + GROWTH_OVER, joining->started + GROWTH_WAIT);
+  return MIN (joining->last_growth_at + GROWTH_OVER, joining->started + GROWTH_WAIT);
 }
 
 /* When the store may be read.  One that has just met the first of the others does not
  * know yet which of them reads for all. */
 static MrTime
-S_end (MrJoining *joining, MrTime now, const MrRoster *roster, const MrJoiningState *state)
+S_end (MrBootstrap *joining, MrTime now, const MrRoster *roster, const MrBootstrapState *state)
 {
   MrTime end = joining->started + joining->sync_wait;
   S_note_members (joining, now, mr_roster_count (roster));
-  if (joining->met_at == 0 && mr_roster_count (roster) > 1)
-    joining->met_at = now;
+  if (joining->first_peer_at == 0 && mr_roster_count (roster) > 1)
+    joining->first_peer_at = now;
   MrTime grown = S_grown (joining);
   if (!state->watcher && state->fetching && now < joining->started + FETCH_WAIT)
     return MAX (end, now + FETCH_STEP);
   if (!state->watcher)
     return MAX (end, grown == 0 ? 0 : grown + SYNC_WAIT);
-  if (joining->met_at == 0)
-    return joining->started + joining->lone_wait;
-  end = MAX (joining->started, joining->met_at) + joining->watch_wait;
+  if (joining->first_peer_at == 0)
+    return joining->started + joining->no_peer_wait;
+  end = MAX (joining->started, joining->first_peer_at) + joining->watcher_wait;
   return MAX (end, grown);
 }
 
-MrJoiningStep
-mr_joining_step (MrJoining *joining,
-                 MrTime now,
-                 const MrRoster *roster,
-                 const MrJoiningState *state)
+MrBootstrapStep
+mr_bootstrap_step (MrBootstrap *joining,
+                   MrTime now,
+                   const MrRoster *roster,
+                   const MrBootstrapState *state)
 {
   MrTime end = S_end (joining, now, roster, state);
-  if (joining->alone || state->synced || now >= end)
-    return (MrJoiningStep){ .read = TRUE, .next = MR_NEVER };
-  MrJoiningStep step = { .next = end };
+  if (joining->no_other_seeds || state->synced || now >= end)
+    return (MrBootstrapStep){ .read_store = TRUE, .next = MR_NEVER };
+  MrBootstrapStep step = { .next = end };
   if (now >= joining->ask_at)
     {
-      step.ask = S_next_peer (joining, roster, state->self);
-      joining->ask_at = now + joining->ask_gap;
-      joining->asked++;
-      if (step.ask && !step.ask->busy)
-        joining->ask_gap *= 2;
+      step.ask_peer = S_next_peer (joining, roster, state->self);
+      joining->ask_at = now + joining->ask_interval;
+      joining->ask_count++;
+      if (step.ask_peer && !step.ask_peer->busy)
+        joining->ask_interval *= 2;
     }
   step.next = MIN (step.next, joining->ask_at);
   return step;
--- a/src/burn.c
+++ b/src/burn.c
@@ -29,7 +29,7 @@
 {
   Cell cells[MR_BURN_WINDOWS][CELLS_MAX];
   GHashTable *blamed; /* target -> Blamed */
-} Service;
+} TargetGroup;
 
 struct _MrBurn
 {
@@ -40,7 +40,7 @@
 static void
 S_service_free (gpointer data)
 {
-  Service *service = data;
+  TargetGroup *service = data;
   g_hash_table_unref (service->blamed);
   g_free (service);
 }
@@ -63,13 +63,13 @@
   g_free (burn);
 }
 
-static Service *
+static TargetGroup *
 S_service (MrBurn *burn, const char *name)
 {
-  Service *service = g_hash_table_lookup (burn->services, name);
+  TargetGroup *service = g_hash_table_lookup (burn->services, name);
   if (service)
     return service;
-  service = g_new0 (Service, 1);
+  service = g_new0 (TargetGroup, 1);
   service->blamed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   g_hash_table_insert (burn->services, g_strdup (name), service);
   return service;
@@ -82,7 +82,7 @@
 }
 
 static void
-S_blame (Service *service, MrTime now, const MrBurnEvent *event)
+S_blame (TargetGroup *service, MrTime now, const MrBurnEvent *event)
 {
   Blamed *blamed = g_hash_table_lookup (service->blamed, event->target);
   if (!blamed)
@@ -106,7 +106,7 @@
 void
 mr_burn_add (MrBurn *burn, MrTime now, const char *name, const MrBurnEvent *event)
 {
-  Service *service = S_service (burn, name);
+  TargetGroup *service = S_service (burn, name);
   for (guint window = 0; window < MR_BURN_WINDOWS; window++)
     {
       gint64 index = now / MR_SECOND / cell_seconds[window];
@@ -126,7 +126,7 @@
 mr_burn_counts (const MrBurn *burn, MrTime now, const char *name, guint window)
 {
   MrBurnCounts sum = { 0 };
-  const Service *service = g_hash_table_lookup (burn->services, name);
+  const TargetGroup *service = g_hash_table_lookup (burn->services, name);
   if (!service)
     return sum;
   gint64 newest = now / MR_SECOND / cell_seconds[window];
@@ -158,7 +158,7 @@
     void (*visit) (const char *target, const char *domain, guint64 count, void *user),
     void *user)
 {
-  const Service *service = g_hash_table_lookup (burn->services, name);
+  const TargetGroup *service = g_hash_table_lookup (burn->services, name);
   if (!service)
     return;
   gint64 minute = now / (60 * MR_SECOND);
--- a/src/caller_server.c
+++ b/src/caller_server.c
@@ -15,10 +15,10 @@
 
 /* Until operators' limits are known. */
 static const MrCallerLimits default_limits = {
-  .head_bytes = 16384,
-  .body_bytes = 262144,
-  .head_time = 3 * MR_SECOND,
-  .idle_time = 15 * MR_SECOND,
+  .max_head_bytes = 16384,
+  .max_body_bytes = 262144,
+  .head_timeout = 3 * MR_SECOND,
+  .idle_timeout = 15 * MR_SECOND,
 };
 /* A body may take this many times as long as a head: it is up to that much
  * larger, and no setting bounds it. */
@@ -146,9 +146,9 @@
   mr_http_parser_reset (c->parser);
   const MrCallerLimits *limits = &c->server->limits;
   mr_http_parser_set_limits (
-      c->parser, (MrHttpLimits){ .head = limits->head_bytes, .body = limits->body_bytes });
+      c->parser, (MrHttpLimits){ .head = limits->max_head_bytes, .body = limits->max_body_bytes });
   c->continued = FALSE;
-  mr_timers_set (c->server->timers, &c->timer, now + limits->idle_time + IDLE_GRACE);
+  mr_timers_set (c->server->timers, &c->timer, now + limits->idle_timeout + IDLE_GRACE);
 }
 
 /* Acts on what the parser has come to. */
@@ -160,10 +160,10 @@
   if (before == MR_HTTP_IDLE && state != MR_HTTP_IDLE)
     {
       c->began = now;
-      mr_timers_set (c->server->timers, &c->timer, now + limits->head_time);
+      mr_timers_set (c->server->timers, &c->timer, now + limits->head_timeout);
     }
   if (before < MR_HTTP_BODY && state == MR_HTTP_BODY)
-    mr_timers_set (c->server->timers, &c->timer, now + limits->head_time * BODY_TIMES);
+    mr_timers_set (c->server->timers, &c->timer, now + limits->head_timeout * BODY_TIMES);
   switch (state)
     {
     case MR_HTTP_IDLE:
@@ -212,7 +212,7 @@
       return;
     }
   g_string_append_len (c->ahead, bytes.data, (gssize) bytes.len);
-  if (c->ahead->len > AHEAD_MAX + c->server->limits.body_bytes)
+  if (c->ahead->len > AHEAD_MAX + c->server->limits.max_body_bytes)
     {
       c->server->host->gone (c->server->host, c);
       S_close (c);
@@ -387,5 +387,5 @@
   for (MrTimer *timer = mr_timers_pop (server->timers, now); timer;
        timer = mr_timers_pop (server->timers, now))
     S_on_timer (timer->owner, now);
-  return mr_timers_next (server->timers);
+  return mr_timers_next_due (server->timers);
 }
--- a/src/cold_share.c
+++ b/src/cold_share.c
@@ -47,7 +47,7 @@
 }
 
 void
-mr_cold_share_note (MrColdShare *share, MrTime now, const MrMember *member)
+mr_cold_share_on_member (MrColdShare *share, MrTime now, const MrMember *member)
 {
   if (member->state != MR_MEMBER_SUSPECT && member->state != MR_MEMBER_DEAD)
     {
@@ -80,9 +80,9 @@
   g_autoptr (GHashTable) domains = g_hash_table_new (g_str_hash, g_str_equal);
   GHashTableIter iter;
   gpointer item = NULL;
-  *own = mr_roster_domain_alive (roster, mr_roster_domain (roster, share->domain));
+  *own = mr_roster_domain_alive (roster, mr_roster_domain_index (roster, share->domain));
   g_hash_table_add (domains, share->domain);
-  for (guint i = 0; i < mr_roster_domains (roster); i++)
+  for (guint i = 0; i < mr_roster_domain_count (roster); i++)
     if (mr_roster_domain_alive (roster, i) > 0)
       g_hash_table_add (domains, (gpointer) mr_roster_domain_name (roster, i));
   g_hash_table_iter_init (&iter, share->lost);
@@ -116,8 +116,8 @@
   guint own = 0;
   S_forget_old (share, now);
   guint domains = S_count_domains (share, roster, &own);
-  guint alive = mr_roster_domain_alive (roster, mr_roster_domain (roster, share->domain));
-  gboolean most = 2 * alive > own && mr_roster_has_met (roster);
+  guint alive = mr_roster_domain_alive (roster, mr_roster_domain_index (roster, share->domain));
+  gboolean most = 2 * alive > own && mr_roster_has_known_others (roster);
   if (!MR_SAFEGUARD (MR_GUARD_COLD_SHARE))
     return plan->is_entry ? 1.0 / MAX (plan->entries->len, 1) : 0;
   if (!most || !plan->is_entry)
@@ -143,7 +143,7 @@
 }
 
 void
-mr_cold_window_note (MrColdWindow *window, MrTime now)
+mr_cold_window_add (MrColdWindow *window, MrTime now)
 {
   window->sent[window->count++ % MR_COLD_PERMITS_MAX] = now;
 }
@@ -156,5 +156,5 @@
   if (window->count < permits)
     return TRUE;
   MrTime oldest = window->sent[(window->count - permits) % MR_COLD_PERMITS_MAX];
-  return now - oldest >= MR_COLD_SPAN;
+  return now - oldest >= MR_COLD_WINDOW;
 }
--- a/src/cold_share.h
+++ b/src/cold_share.h
@@ -18,7 +18,7 @@
 void mr_cold_share_free (MrColdShare *share);
 
 /* A member as it is now; each change of one is to be told. */
-void mr_cold_share_note (MrColdShare *share, MrTime now, const MrMember *member);
+void mr_cold_share_on_member (MrColdShare *share, MrTime now, const MrMember *member);
 
 /* This daemon's part now, 0 to 1, as members and plan stand. */
 double mr_cold_share_update (MrColdShare *share,
@@ -26,17 +26,17 @@
                              const MrRoster *roster,
                              const MrEntryPlan *plan);
 
-/* Calls that a daemon with @part may send to one target in MR_COLD_SPAN, of the @bound that
+/* Calls that a daemon with @part may send to one target in MR_COLD_WINDOW, of the @bound that
  * the target bears from all in a second. */
 guint mr_cold_share_permits (double part, double bound);
 
 /* Calls are counted where they arrive: some of two seconds may arrive in one. */
-#define MR_COLD_SPAN (1250 * MR_MS)
+#define MR_COLD_WINDOW (1250 * MR_MS)
 
 enum
 {
   MR_COLD_PERMITS_MAX = 32,
-  MR_COLD_UNBOUNDED = G_MAXINT, /* of a target that bears any number */
+  MR_COLD_UNLIMITED = G_MAXINT, /* of a target that bears any number */
 };
 
 /* Times of the calls that were sent to one cold target last. */
@@ -46,6 +46,6 @@
   guint count; /* ever */
 } MrColdWindow;
 
-void mr_cold_window_note (MrColdWindow *window, MrTime now);
+void mr_cold_window_add (MrColdWindow *window, MrTime now);
 /* TRUE if one more call keeps within @permits in any span. */
 gboolean mr_cold_window_allows (const MrColdWindow *window, MrTime now, guint permits);
--- a/src/configuration.c
+++ b/src/configuration.c
@@ -20,10 +20,10 @@
   g_free (route->name);
   g_free (route->host);
   g_free (route->prefix);
-  for (guint i = 0; i < route->part_count; i++)
-    g_free (route->parts[i].service);
-  g_free (route->parts);
-  g_strfreev (route->homes);
+  for (guint i = 0; i < route->service_count; i++)
+    g_free (route->services[i].service);
+  g_free (route->services);
+  g_strfreev (route->home_regions);
   g_free (route);
 }
 
@@ -84,7 +84,7 @@
 }
 
 static MrStatus
-S_read_part (const json_t *item, MrRoute *route, MrSplitPart *part)
+S_read_part (const json_t *item, MrRoute *route, MrRouteService *part)
 {
   part->weight = 1;
   if (route->kind != MR_ROUTE_SPLIT)
@@ -104,15 +104,15 @@
   const json_t *shards = json_object_get (object, "shards");
   const json_t *list = shards ? shards : split;
   route->kind = shards ? MR_ROUTE_SHARDS : split ? MR_ROUTE_SPLIT : MR_ROUTE_SERVICE;
-  route->part_count = list ? (guint) json_array_size (list) : 1;
-  if (route->part_count == 0)
+  route->service_count = list ? (guint) json_array_size (list) : 1;
+  if (route->service_count == 0)
     return S_wrong (route->name, shards ? "shards" : "split");
-  route->parts = g_new0 (MrSplitPart, route->part_count);
+  route->services = g_new0 (MrRouteService, route->service_count);
   if (!list)
-    return S_read_part (single, route, &route->parts[0]);
-  for (guint i = 0; i < route->part_count; i++)
+    return S_read_part (single, route, &route->services[0]);
+  for (guint i = 0; i < route->service_count; i++)
     {
-      MrStatus status = S_read_part (json_array_get (list, i), route, &route->parts[i]);
+      MrStatus status = S_read_part (json_array_get (list, i), route, &route->services[i]);
       if (status != MR_OK)
         return status;
     }
@@ -138,14 +138,14 @@
     {
       status = S_read_number (object, route->name, "top_records", 0, &top);
       if (status == MR_OK)
-        status = S_read_number (object, route->name, "least_share", 0, &route->least_share);
+        status = S_read_number (object, route->name, "least_share", 0, &route->min_coverage);
     }
   route->time_limit = (MrTime) (limit * MR_MS);
-  route->aim = (MrTime) (aim * MR_MS);
-  route->attempts = (guint) attempts;
-  route->rank = (guint) rank;
+  route->latency_goal = (MrTime) (aim * MR_MS);
+  route->attempt_limit = (guint) attempts;
+  route->priority = (guint) rank;
   route->top_records = (guint) top;
-  route->repeatable = json_is_true (json_object_get (object, "repeatable"));
+  route->idempotent = json_is_true (json_object_get (object, "repeatable"));
   return status;
 }
 
@@ -161,12 +161,12 @@
     return S_wrong (route->name, "homes");
   if (json_array_size (homes) == 0)
     return MR_OK;
-  route->homes = g_new0 (char *, json_array_size (homes) + 1);
+  route->home_regions = g_new0 (char *, json_array_size (homes) + 1);
   json_array_foreach (homes, i, item)
   {
     if (!json_is_string (item))
       return S_wrong (route->name, "homes");
-    route->homes[i] = g_strdup (json_string_value (item));
+    route->home_regions[i] = g_strdup (json_string_value (item));
   }
   return MR_OK;
 }
@@ -223,7 +223,7 @@
   MrServiceInfo *service = g_new (MrServiceInfo, 1);
   *service = (MrServiceInfo){
     .name = name,
-    .most_connections = (guint) connections,
+    .max_connections_per_target = (guint) connections,
     .cold_rate = cold_rate,
     .cold_time = (MrTime) (cold_time * MR_MS),
   };
@@ -246,10 +246,10 @@
   if (status == MR_OK)
     status = S_read_number (object, "limits", "idle_time", 1, &idle_time);
   c->limits = (MrCallerLimits){
-    .head_bytes = (gsize) head,
-    .body_bytes = (gsize) body,
-    .head_time = (MrTime) (head_time * MR_MS),
-    .idle_time = (MrTime) (idle_time * MR_MS),
+    .max_head_bytes = (gsize) head,
+    .max_body_bytes = (gsize) body,
+    .head_timeout = (MrTime) (head_time * MR_MS),
+    .idle_timeout = (MrTime) (idle_time * MR_MS),
   };
   return status;
 }
@@ -337,7 +337,7 @@
 }
 
 const MrRoute *
-mr_configuration_match (const MrConfiguration *c, MrText host, MrText path)
+mr_configuration_find_route (const MrConfiguration *c, MrText host, MrText path)
 {
   const GPtrArray *list = S_routes_of (c, host);
   for (guint i = 0; list && i < list->len; i++)
@@ -351,14 +351,14 @@
 }
 
 GHashTable *
-mr_configuration_homes (const MrConfiguration *c, MrText host)
+mr_configuration_home_regions (const MrConfiguration *c, MrText host)
 {
   const GPtrArray *list = S_routes_of (c, host);
   GHashTable *homes = NULL;
   for (guint i = 0; list && i < list->len; i++)
     {
       const MrRoute *route = g_ptr_array_index (list, i);
-      for (char **home = route->homes; home && *home; home++)
+      for (char **home = route->home_regions; home && *home; home++)
         {
           if (!homes)
             homes = g_hash_table_new (g_str_hash, g_str_equal);
@@ -369,7 +369,7 @@
 }
 
 const MrServiceInfo *
-mr_configuration_service (const MrConfiguration *c, const char *name)
+mr_configuration_find_service (const MrConfiguration *c, const char *name)
 {
   return g_hash_table_lookup (c->services, name);
 }
--- a/src/configuration.h
+++ b/src/configuration.h
@@ -10,16 +10,16 @@
 typedef struct
 {
   char *name;
-  guint most_connections; /* that one target accepts from all daemons together */
-  double cold_rate;       /* calls a second that a cold target is to get; 0: any */
-  MrTime cold_time;       /* for which a target is cold after its start */
+  guint max_connections_per_target; /* that one target accepts from all daemons together */
+  double cold_rate;                 /* calls a second that a cold target is to get; 0: any */
+  MrTime cold_time;                 /* for which a target is cold after its start */
 } MrServiceInfo;
 
 typedef struct
 {
   char *service;
   double weight;
-} MrSplitPart;
+} MrRouteService;
 
 typedef enum
 {
@@ -35,24 +35,24 @@
   char *host;   /* lower case */
   char *prefix; /* begins and ends with a slash */
   MrRouteKind kind;
-  gboolean repeatable; /* idempotent: may run more than once */
-  guint attempts;      /* most targets for one request, or for each of its shards */
-  guint rank;          /* 0 is served first */
+  gboolean idempotent; /* idempotent: may run more than once */
+  guint attempt_limit; /* most targets for one request, or for each of its shards */
+  guint priority;      /* 0 is served first */
   MrTime time_limit;
-  MrTime aim; /* within which an answer is worth its full value to the caller */
-  guint part_count;
-  MrSplitPart *parts; /* services; one unless split or sharded */
-  guint top_records;  /* of a merged answer */
-  double least_share; /* of the shards that a merged answer needs */
-  char **homes;       /* regions whose targets alone may be sent it; NULL: any */
+  MrTime latency_goal; /* within which an answer is worth its full value to the caller */
+  guint service_count;
+  MrRouteService *services; /* services; one unless split or sharded */
+  guint top_records;        /* of a merged answer */
+  double min_coverage;      /* of the shards that a merged answer needs */
+  char **home_regions;      /* regions whose targets alone may be sent it; NULL: any */
 } MrRoute;
 
 typedef struct
 {
-  gsize head_bytes;
-  gsize body_bytes;
-  MrTime head_time; /* for a caller to send its head */
-  MrTime idle_time; /* of a caller's connection between requests */
+  gsize max_head_bytes;
+  gsize max_body_bytes;
+  MrTime head_timeout; /* for a caller to send its head */
+  MrTime idle_timeout; /* of a caller's connection between requests */
 } MrCallerLimits;
 
 typedef struct _MrConfiguration MrConfiguration;
@@ -67,11 +67,11 @@
 
 /* The route with the longest prefix that begins @path; NULL if there is none. */
 const MrRoute *
-mr_configuration_match (const MrConfiguration *configuration, MrText host, MrText path);
+mr_configuration_find_route (const MrConfiguration *configuration, MrText host, MrText path);
 
 /* The home regions of all routes of @host, as a set of borrowed texts; NULL if none has any. */
-GHashTable *mr_configuration_homes (const MrConfiguration *configuration, MrText host);
+GHashTable *mr_configuration_home_regions (const MrConfiguration *configuration, MrText host);
 
 /* NULL if the version names no such service. */
-const MrServiceInfo *mr_configuration_service (const MrConfiguration *configuration,
-                                               const char *name);
+const MrServiceInfo *mr_configuration_find_service (const MrConfiguration *configuration,
+                                                    const char *name);
--- a/src/control_peers.c
+++ b/src/control_peers.c
@@ -13,7 +13,7 @@
 static MrShardMap *
 S_find_map (MrControlTask *task, const char *service, guint64 generation)
 {
-  for (GList *link = mr_control_maps (task, service)->head; link; link = link->next)
+  for (GList *link = mr_control_shard_maps (task, service)->head; link; link = link->next)
     if (((MrShardMap *) link->data)->generation == generation)
       return link->data;
   return NULL;
@@ -52,7 +52,7 @@
   MrOrigin origin = { .incarnation = wire->root_incarnation };
   g_strlcpy (origin.root, message->sender, sizeof origin.root);
   mr_metrics_add (MR_METRIC_BATCHES_REMOTE, 1);
-  mr_mailbox_post (task->targets, &mr_submit_message_new (batch, &origin)->base);
+  mr_mailbox_post (task->target_mailbox, &mr_submit_message_new (batch, &origin)->base);
 }
 
 static void
@@ -66,7 +66,7 @@
       return;
     }
   MrPartial *partial = g_steal_pointer (&message->partial);
-  mr_mailbox_post (task->entry, &mr_partial_message_new (partial, message->sender)->base);
+  mr_mailbox_post (task->entry_mailbox, &mr_partial_message_new (partial, message->sender)->base);
 }
 
 static void
@@ -74,7 +74,7 @@
 {
   MrOrigin origin = { .incarnation = message->root_incarnation, .batch_id = message->batch_id };
   g_strlcpy (origin.root, message->sender, sizeof origin.root);
-  mr_mailbox_post (task->targets, &mr_forget_message_new (&origin)->base);
+  mr_mailbox_post (task->target_mailbox, &mr_forget_message_new (&origin)->base);
 }
 
 static void
@@ -89,7 +89,7 @@
   order->ticket = g_strdup (wire->ticket);
   order->remaining_ms = wire->remaining_ms;
   order->body = g_string_new_len (wire->body.data, (gssize) wire->body.len);
-  mr_mailbox_post (task->entry, &order->base);
+  mr_mailbox_post (task->entry_mailbox, &order->base);
 }
 
 static void
@@ -103,7 +103,7 @@
   result->result = wire->result;
   result->retry_after_ms = wire->retry_after_ms;
   result->body = g_string_new_len (wire->body.data, (gssize) wire->body.len);
-  mr_mailbox_post (task->entry, &result->base);
+  mr_mailbox_post (task->entry_mailbox, &result->base);
 }
 
 /* What was opened to a process that has ended, or while its VM was off, carries the
@@ -125,19 +125,20 @@
     case MR_WIRE_HEARTBEAT:
     case MR_WIRE_MEMBERS:
       S_renew_link (task, now, &message->heartbeat);
-      task->asked =
-          message->heartbeat.kind == MR_HEARTBEAT_PING && message->heartbeat.ask == MR_ASK_SOME;
+      task->ack_on_connection = message->heartbeat.kind == MR_HEARTBEAT_PING &&
+                                message->heartbeat.members_request == MR_MEMBERS_REQUEST_SAMPLE;
       mr_membership_receive (task->membership, now, &message->heartbeat);
-      task->asked = FALSE;
-      mr_spread_digest (task->spread, now, message->sender, message->heartbeat.digest,
-                        task->relay && message->heartbeat.from.busy);
+      task->ack_on_connection = FALSE;
+      mr_replication_receive_digest (task->replication, now, message->sender,
+                                     message->heartbeat.registry_digest,
+                                     task->relay && message->heartbeat.from.busy);
       break;
     case MR_WIRE_NEWS:
     case MR_WIRE_GET:
     case MR_WIRE_OBJECTS:
     case MR_WIRE_LIST:
     case MR_WIRE_RANGES:
-      mr_spread_receive (task->spread, now, message);
+      mr_replication_receive (task->replication, now, message);
       break;
     case MR_WIRE_BATCH:
       S_on_batch (task, message);
--- a/src/control_platform.c
+++ b/src/control_platform.c
@@ -34,7 +34,7 @@
 {
   const char *kind;
   MrObjectKind object;
-} watch_kinds[WATCHES] = {
+} watch_kinds[WATCH_COUNT] = {
   [WATCH_ACCEPTED] = { "accepted", MR_OBJECT_ACCEPTED },
   [WATCH_SHARD_MAPS] = { "shardmaps", MR_OBJECT_SHARD_MAP },
   [WATCH_DOCUMENTS] = { "documents", 0 },
@@ -49,7 +49,7 @@
 mr_control_platform_request (MrControlTask *task, MrPlatformRequest *request)
 {
   mr_metrics_add (MR_METRIC_PLATFORM_CALLS, 1);
-  mr_mailbox_post (task->platform, &request->base);
+  mr_mailbox_post (task->platform_mailbox, &request->base);
 }
 
 static void
@@ -73,8 +73,8 @@
 S_is_watcher (const MrControlTask *task)
 {
   if (task->relay)
-    return mr_watch_relay (task->roster, task->settings->name);
-  return mr_watch_rank (task->roster, task->settings->name) < MR_WATCHERS;
+    return mr_watch_is_relay_watcher (task->roster, task->settings->name);
+  return mr_watch_rank (task->roster, task->settings->name) < MR_WATCHERS_PER_DOMAIN;
 }
 
 /* TRUE while a relay that has just started leaves the store alone, since its peers
@@ -82,22 +82,22 @@
 static gboolean
 S_joins (MrControlTask *task, MrTime now, gboolean watcher, MrTime *next)
 {
-  const MrJoiningState state = {
+  const MrBootstrapState state = {
     .self = task->settings->name,
     .watcher = watcher,
-    .fetching = mr_spread_is_fetching (task->spread, now),
-    .synced = mr_spread_synced (task->spread),
+    .fetching = mr_replication_is_fetching (task->replication, now),
+    .synced = mr_replication_is_synced (task->replication),
   };
-  MrJoiningStep step = mr_joining_step (&task->joining, now, task->roster, &state);
-  if (step.ask)
-    mr_spread_ask (task->spread, now, step.ask->name);
+  MrBootstrapStep step = mr_bootstrap_step (&task->bootstrap, now, task->roster, &state);
+  if (step.ask_peer)
+    mr_replication_request_list (task->replication, now, step.ask_peer->name);
   *next = MIN (*next, step.next);
-  if (!step.read)
+  if (!step.read_store)
     return TRUE;
-  for (int i = WATCH_CONFIGURATION; i < WATCHES; i++)
-    task->watches[i].readers = mr_roster_count (task->roster);
-  for (int i = WATCH_CONFIGURATION; i < WATCHES && !watcher; i++)
-    if (!task->watches[i].done && state.synced)
+  for (int i = WATCH_CONFIGURATION; i < WATCH_COUNT; i++)
+    task->watches[i].reader_count = mr_roster_count (task->roster);
+  for (int i = WATCH_CONFIGURATION; i < WATCH_COUNT && !watcher; i++)
+    if (!task->watches[i].has_succeeded && state.synced)
       mr_watch_ended (&task->watches[i], now, true, false, g_rand_double (task->random));
   return FALSE;
 }
@@ -109,8 +109,8 @@
     return WATCH_WAIT_MS;
   if (mr_control_is_restriction (index))
     return RELAY_WATCH_WAIT_MS; /* daemons tell each other */
-  return mr_watch_first (task->roster, task->settings->name) ? FIRST_WATCH_WAIT_MS
-                                                             : RELAY_WATCH_WAIT_MS;
+  return mr_watch_is_first_watcher (task->roster, task->settings->name) ? FIRST_WATCH_WAIT_MS
+                                                                        : RELAY_WATCH_WAIT_MS;
 }
 
 /* Evidence and evacuations spread between daemons.  Of relays they are read by those that
@@ -123,7 +123,7 @@
   if (index == WATCH_DOCUMENTS)
     return task->relay || !watcher;
   if (mr_control_is_restriction (index))
-    return task->relay && !watcher && task->held->len == 0;
+    return task->relay && !watcher && task->deferred_offers->len == 0;
   return task->relay != (index >= WATCH_CONFIGURATION);
 }
 
@@ -133,13 +133,13 @@
   gboolean watcher = S_is_watcher (task);
   if (task->relay && S_joins (task, now, watcher, next))
     return;
-  for (int i = 0; i < WATCHES; i++)
+  for (int i = 0; i < WATCH_COUNT; i++)
     {
       MrWatch *watch = &task->watches[i];
-      if (watch->busy || S_leaves_out (task, i, watcher))
+      if (watch->in_flight || S_leaves_out (task, i, watcher))
         continue;
-      if (watcher && watch->gap == 0)
-        watch->due = MIN (watch->due, now + watch->pause); /* it has just become one */
+      if (watcher && watch->retry_delay == 0)
+        watch->due = MIN (watch->due, now + watch->call_pause); /* it has just become one */
       if (now < watch->due)
         {
           *next = MIN (*next, watch->due);
@@ -148,8 +148,8 @@
       MrPlatformAction action = i == WATCH_VMS ? MR_PLATFORM_VMS : MR_PLATFORM_LIST;
       MrPlatformRequest *request = mr_platform_request_new (action, watch_kinds[i].kind, "");
       request->since = watch->since;
-      g_strlcpy (request->after, watch->after, sizeof request->after);
-      if (watcher && watch->done && watch->gap == 0 && watch->since > 0)
+      g_strlcpy (request->after, watch->page_after, sizeof request->after);
+      if (watcher && watch->has_succeeded && watch->retry_delay == 0 && watch->since > 0)
         request->wait_ms = S_watch_wait_ms (task, i);
       request->call = mr_watch_begin (watch);
       mr_control_platform_request (task, request);
@@ -162,8 +162,8 @@
 S_renew_evacuations (MrControlTask *task)
 {
   MrWatch *watch = &task->watches[WATCH_EVACUATIONS];
-  if (watch->done)
-    mr_watch_renew (watch);
+  if (watch->has_succeeded)
+    mr_watch_restart (watch);
 }
 
 static void
@@ -177,8 +177,8 @@
   task->view_changed = TRUE;
   if (up)
     S_renew_evacuations (task);
-  mr_listing_set_store (task->listing, mr_now (), up);
-  mr_membership_set_cut_off (task->membership, mr_now (), !up);
+  mr_removal_filter_set_store_up (task->removal_filter, mr_now (), up);
+  mr_membership_set_platform_unreachable (task->membership, mr_now (), !up);
   mr_log (up ? MR_LOG_NOTICE : MR_LOG_WARNING, up ? MR_EVENT_PLATFORM_UP : MR_EVENT_PLATFORM_DOWN,
           up ? "the platform answers" : "the platform does not answer; what is in force stays");
 }
@@ -188,8 +188,8 @@
 {
   guint rank = mr_watch_rank (task->roster, task->settings->name);
   MrText body = object->deleted ? (MrText){ 0 } : mr_text_of (object->body);
-  mr_controller_document (task->controller, mr_text (object->name), object->version, body,
-                          now + rank * RANK_DELAY);
+  mr_controller_document_changed (task->controller, mr_text (object->name), object->version, body,
+                                  now + rank * RANK_DELAY);
 }
 
 /* This platform's versions leave no room for what is made of them, and its removals have one
@@ -198,8 +198,8 @@
 S_on_listed_evacuation (MrControlTask *task, const MrPlatformObject *object)
 {
   MrPlatformObject spaced = *object;
-  spaced.version = MR_VERSIONS_APART * object->version;
-  mr_control_evacuation_stored (task, &spaced);
+  spaced.version = MR_VERSION_STRIDE * object->version;
+  mr_control_evacuation_read_from_store (task, &spaced);
 }
 
 static void
@@ -212,12 +212,12 @@
       if (index == WATCH_DOCUMENTS)
         S_on_listed_document (task, now, object);
       else if (index == WATCH_EVIDENCE)
-        mr_control_evidence_stored (task, object);
+        mr_control_evidence_read_from_store (task, object);
       else if (index == WATCH_EVACUATIONS)
         S_on_listed_evacuation (task, object);
       else if (!object->deleted)
-        mr_spread_offer (task->spread, watch_kinds[index].object, mr_text (object->name),
-                         object->version, mr_text_of (object->body), NULL);
+        mr_replication_offer (task->replication, watch_kinds[index].object, mr_text (object->name),
+                              object->version, mr_text_of (object->body), NULL);
     }
   watch->since = MAX (watch->since, result->revision);
 }
@@ -237,8 +237,8 @@
   g_string_append_c (body, ']');
   const MrObject *known = mr_registry_get (task->registry, MR_OBJECT_VM, leaving_name);
   if (known ? !g_string_equal (known->body, body) : body->len > 2)
-    mr_spread_offer (task->spread, MR_OBJECT_VM, mr_text (leaving_name), result->revision,
-                     mr_text_of (body), NULL);
+    mr_replication_offer (task->replication, MR_OBJECT_VM, mr_text (leaving_name), result->revision,
+                          mr_text_of (body), NULL);
   g_string_free (body, TRUE);
 }
 
@@ -267,22 +267,22 @@
 {
   if (index == WATCH_EVIDENCE)
     {
-      mr_control_evidence_stored (task, object);
+      mr_control_evidence_read_from_store (task, object);
       return;
     }
   if (index == WATCH_EVACUATIONS)
     {
-      mr_control_evacuation_stored (task, object);
+      mr_control_evacuation_read_from_store (task, object);
       return;
     }
   if (object->deleted)
     {
       if (index == WATCH_TARGETS)
-        mr_listing_removed (task->listing, now, object->name, object->version);
+        mr_removal_filter_add_removed (task->removal_filter, now, object->name, object->version);
       return;
     }
   if (index == WATCH_TARGETS)
-    mr_listing_present (task->listing, object->name, object->version);
+    mr_removal_filter_add_present (task->removal_filter, object->name, object->version);
   mr_control_start_offer (task, watch_kinds[index].object, object);
 }
 
@@ -297,10 +297,10 @@
 {
   const Unlisted *unlisted = user;
   const MrControlTask *task = unlisted->task;
-  guint64 version = mr_listing_version (task->listing);
-  if (!mr_listing_has (task->listing, id) &&
+  guint64 version = mr_removal_filter_listing_version (task->removal_filter);
+  if (!mr_removal_filter_is_listed (task->removal_filter, id) &&
       mr_registry_version (task->registry, MR_OBJECT_TARGET, id) < version)
-    mr_listing_removed (task->listing, unlisted->now, id, version);
+    mr_removal_filter_add_removed (task->removal_filter, unlisted->now, id, version);
 }
 
 /* Targets that were known and that a full listing does not name. */
@@ -308,7 +308,7 @@
 S_remove_all_unlisted (MrControlTask *task, MrTime now)
 {
   Unlisted unlisted = { .task = task, .now = now };
-  mr_target_table_foreach (task->records, S_remove_unlisted, &unlisted);
+  mr_target_table_foreach (task->target_table, S_remove_unlisted, &unlisted);
 }
 
 static void
@@ -316,7 +316,8 @@
 {
   MrWatch *watch = &task->watches[index];
   gboolean full = result->request->since == 0;
-  mr_listing_set_known (task->listing, mr_target_table_count (task->records));
+  mr_removal_filter_set_object_count (task->removal_filter,
+                                      mr_target_table_count (task->target_table));
   if (result->expired)
     {
       watch->since = 0;
@@ -324,15 +325,15 @@
     }
   if (full && result->request->after[0] == '\0')
     {
-      watch->listed = result->revision;
+      watch->listing_revision = result->revision;
       if (index == WATCH_TARGETS)
-        mr_listing_begin (task->listing, result->removed_version);
+        mr_removal_filter_begin_listing (task->removal_filter, result->removed_version);
       if (index == WATCH_EVACUATIONS)
-        mr_control_evacuation_list (task, result->removed_version);
+        mr_control_evacuation_begin_listing (task, result->removed_version);
     }
   for (guint i = 0; i < result->objects->len; i++)
     S_on_relay_object (task, now, index, g_ptr_array_index (result->objects, i));
-  watch->after[0] = '\0';
+  watch->page_after[0] = '\0';
   /* More is to come, but nothing on this page tells from where: the listing begins
    * anew, rather than taking what follows for gone. */
   if (full && result->more && result->objects->len == 0)
@@ -340,28 +341,28 @@
   if (full && result->more)
     {
       const MrPlatformObject *last = g_ptr_array_index (result->objects, result->objects->len - 1);
-      g_strlcpy (watch->after, last->name, sizeof watch->after);
+      g_strlcpy (watch->page_after, last->name, sizeof watch->page_after);
       return;
     }
   if (full && index == WATCH_TARGETS)
     S_remove_all_unlisted (task, now);
   if (full && index == WATCH_EVACUATIONS)
-    mr_control_evacuation_listed (task);
-  watch->since = full ? watch->listed : MAX (watch->since, result->revision);
+    mr_control_evacuation_end_listing (task);
+  watch->since = full ? watch->listing_revision : MAX (watch->since, result->revision);
 }
 
 void
-mr_control_platform_removals (MrControlTask *task, MrTime now, MrTime *next)
+mr_control_platform_apply_removals (MrControlTask *task, MrTime now, MrTime *next)
 {
   char *name = NULL;
   guint64 version = 0;
-  while (mr_listing_take (task->listing, now, &name, &version))
+  while (mr_removal_filter_take_due (task->removal_filter, now, &name, &version))
     {
-      mr_spread_offer (task->spread, MR_OBJECT_TARGET, mr_text (name), version, (MrText){ 0 },
-                       NULL);
+      mr_replication_offer (task->replication, MR_OBJECT_TARGET, mr_text (name), version,
+                            (MrText){ 0 }, NULL);
       g_clear_pointer (&name, g_free);
     }
-  *next = MIN (*next, mr_listing_next (task->listing));
+  *next = MIN (*next, mr_removal_filter_next_due (task->removal_filter));
 }
 
 static void
@@ -379,9 +380,9 @@
   if (!success && index == WATCH_EVIDENCE && task->configuration)
     task->watches[index].due = now + EVIDENCE_RETRY;
   if (!success && mr_control_is_restriction (index))
-    mr_control_start_refused (task, now, index);
+    mr_control_start_restriction_failed (task, now, index);
   /* The rest of a full listing, and the first watch after it, follow at once. */
-  gboolean more = task->watches[index].after[0] != '\0';
+  gboolean more = task->watches[index].page_after[0] != '\0';
   if (success && task->relay && (more || (watcher && result->request->since == 0)))
     task->watches[index].due = now;
 }
@@ -394,8 +395,8 @@
   MrText body = { 0 };
   if (result->status != MR_OK && result->status != MR_ERROR_NOT_FOUND)
     {
-      mr_controller_written (task->controller, now, request->kind, mr_text (request->name),
-                             MR_ERROR_UNAVAIL, 0);
+      mr_controller_object_written (task->controller, now, request->kind, mr_text (request->name),
+                                    MR_ERROR_UNAVAIL, 0);
       return;
     }
   if (result->objects->len > 0)
@@ -404,7 +405,8 @@
       version = object->version;
       body = mr_text_of (object->body);
     }
-  mr_controller_read (task->controller, now, request->kind, mr_text (request->name), version, body);
+  mr_controller_object_read (task->controller, now, request->kind, mr_text (request->name), version,
+                             body);
 }
 
 static void
@@ -417,10 +419,10 @@
       return;
     }
   if (result->status == MR_OK && g_str_equal (request->kind, "accepted"))
-    mr_spread_offer (task->spread, MR_OBJECT_ACCEPTED, mr_text (request->name), result->version,
-                     mr_text_of (request->body), NULL);
-  mr_controller_written (task->controller, now, request->kind, mr_text (request->name),
-                         (MrStatus) result->status, result->version);
+    mr_replication_offer (task->replication, MR_OBJECT_ACCEPTED, mr_text (request->name),
+                          result->version, mr_text_of (request->body), NULL);
+  mr_controller_object_written (task->controller, now, request->kind, mr_text (request->name),
+                                (MrStatus) result->status, result->version);
 }
 
 /* The watch that @request is a call of; WATCHES if it is a read or a write. */
@@ -429,9 +431,9 @@
 {
   const char *kind = request->action == MR_PLATFORM_VMS ? "vms" : request->kind;
   if (request->action != MR_PLATFORM_LIST && request->action != MR_PLATFORM_VMS)
-    return WATCHES;
+    return WATCH_COUNT;
   int index = 0;
-  while (index < WATCHES && !g_str_equal (watch_kinds[index].kind, kind))
+  while (index < WATCH_COUNT && !g_str_equal (watch_kinds[index].kind, kind))
     index++;
   return index;
 }
@@ -441,7 +443,7 @@
 {
   MrTime now = mr_now ();
   int index = S_watch_of (result->request);
-  if (index < WATCHES && !mr_watch_is_current (&task->watches[index], result->request->call))
+  if (index < WATCH_COUNT && !mr_watch_is_current (&task->watches[index], result->request->call))
     return;
   gboolean up = result->status == MR_OK || result->status == MR_ERROR_NOT_FOUND ||
                 result->status == MR_ERROR_CONFLICT;
@@ -450,7 +452,7 @@
     S_on_read_result (task, now, result);
   else if (result->request->action == MR_PLATFORM_WRITE)
     S_on_write_result (task, now, result);
-  else if (index < WATCHES)
+  else if (index < WATCH_COUNT)
     S_on_watch_result (task, now, index, result);
 }
 
@@ -461,6 +463,6 @@
     .write = S_on_controller_write,
     .read = S_on_controller_read,
   };
-  task->watches[WATCH_VMS].pause = VMS_PAUSE;
-  task->watches[WATCH_TARGETS].pause = TARGETS_PAUSE;
+  task->watches[WATCH_VMS].call_pause = VMS_PAUSE;
+  task->watches[WATCH_TARGETS].call_pause = TARGETS_PAUSE;
 }
--- a/src/control_start.c
+++ b/src/control_start.c
@@ -21,7 +21,7 @@
 /* Between two calls for what all else waits for. */
 static const MrTime ASK_GAP = 100 * MR_MS;
 
-struct _MrHeldOffer
+struct _MrDeferredOffer
 {
   MrObjectKind kind;
   char *name;
@@ -32,7 +32,7 @@
 static void
 S_held_free (gpointer data)
 {
-  MrHeldOffer *held = data;
+  MrDeferredOffer *held = data;
   g_free (held->name);
   g_string_free (held->body, TRUE);
   g_free (held);
@@ -41,25 +41,25 @@
 void
 mr_control_start_init (MrControlTask *task)
 {
-  task->held = g_ptr_array_new_with_free_func (S_held_free);
+  task->deferred_offers = g_ptr_array_new_with_free_func (S_held_free);
 }
 
 void
 mr_control_start_clear (MrControlTask *task)
 {
-  g_ptr_array_unref (task->held);
+  g_ptr_array_unref (task->deferred_offers);
 }
 
 static gboolean
 S_knows (const MrControlTask *task, int index)
 {
-  return task->relay ? task->watches[index].since > 0 : task->watches[index].done;
+  return task->relay ? task->watches[index].since > 0 : task->watches[index].has_succeeded;
 }
 
 static gboolean
 S_knows_restrictions (const MrControlTask *task)
 {
-  for (int i = 0; i < WATCHES; i++)
+  for (int i = 0; i < WATCH_COUNT; i++)
     if (mr_control_is_restriction (i) && !S_knows (task, i))
       return FALSE;
   return TRUE;
@@ -68,24 +68,24 @@
 static void
 S_go_without (MrControlTask *task)
 {
-  if (task->hold_over)
+  if (task->deferral_over)
     return;
-  task->hold_over = TRUE;
+  task->deferral_over = TRUE;
   mr_log (MR_LOG_WARNING, MR_EVENT_START_WITHOUT, "the store does not list %s; serving without",
           !S_knows (task, WATCH_EVACUATIONS) ? "evacuations" : "quarantines");
 }
 
 gboolean
-mr_control_start_is_over (const MrControlTask *task)
+mr_control_start_is_complete (const MrControlTask *task)
 {
-  return task->hold_over || S_knows_restrictions (task);
+  return task->deferral_over || S_knows_restrictions (task);
 }
 
 /* A relay that is ready has all from the store, or from a peer that was. */
 static gboolean
 S_holds (const MrControlTask *task)
 {
-  return !task->ready && !mr_control_start_is_over (task);
+  return !task->ready && !mr_control_start_is_complete (task);
 }
 
 void
@@ -93,29 +93,29 @@
 {
   if (!S_holds (task))
     {
-      mr_spread_offer (task->spread, kind, mr_text (object->name), object->version,
-                       mr_text_of (object->body), NULL);
+      mr_replication_offer (task->replication, kind, mr_text (object->name), object->version,
+                            mr_text_of (object->body), NULL);
       return;
     }
-  MrHeldOffer *held = g_new (MrHeldOffer, 1);
-  *held = (MrHeldOffer){
+  MrDeferredOffer *held = g_new (MrDeferredOffer, 1);
+  *held = (MrDeferredOffer){
     .kind = kind,
     .name = g_strdup (object->name),
     .version = object->version,
     .body = g_string_new_len (object->body->str, (gssize) object->body->len),
   };
-  g_ptr_array_add (task->held, held);
+  g_ptr_array_add (task->deferred_offers, held);
 }
 
 /* A daemon that has no routes to hold is not ready until then. */
 gboolean
-mr_control_start_knows (MrControlTask *task, MrTime now, gboolean rest)
+mr_control_start_may_serve (MrControlTask *task, MrTime now, gboolean rest)
 {
   if (S_knows_restrictions (task))
     return TRUE;
-  if (rest && task->hold_until == 0)
-    task->hold_until = now + HOLD_MOST;
-  if (!rest || now < task->hold_until)
+  if (rest && task->defer_until == 0)
+    task->defer_until = now + HOLD_MOST;
+  if (!rest || now < task->defer_until)
     return FALSE;
   S_go_without (task);
   return TRUE;
@@ -132,43 +132,43 @@
 static void
 S_begin_wait (MrControlTask *task, MrTime now)
 {
-  task->hold_until = now + HOLD_MOST;
-  task->restrictions_refused = FALSE;
-  for (int i = 0; i < WATCHES; i++)
+  task->defer_until = now + HOLD_MOST;
+  task->restriction_call_failed = FALSE;
+  for (int i = 0; i < WATCH_COUNT; i++)
     if (mr_control_is_restriction (i) && !S_knows (task, i))
       task->watches[i].due = MIN (task->watches[i].due, now);
 }
 
 void
-mr_control_start_refused (MrControlTask *task, MrTime now, int index)
+mr_control_start_restriction_failed (MrControlTask *task, MrTime now, int index)
 {
-  task->restrictions_refused = TRUE;
-  if (task->held->len > 0)
+  task->restriction_call_failed = TRUE;
+  if (task->deferred_offers->len > 0)
     task->watches[index].due = now + ASK_GAP;
 }
 
 void
 mr_control_start_tick (MrControlTask *task, MrTime now, MrTime *next)
 {
-  if (task->held->len == 0)
+  if (task->deferred_offers->len == 0)
     return;
-  if (S_holds (task) && task->hold_until == 0 && S_has_rest (task))
+  if (S_holds (task) && task->defer_until == 0 && S_has_rest (task))
     S_begin_wait (task, now);
-  gboolean over = task->hold_until != 0 && now >= task->hold_until;
-  if (S_holds (task) && !(over && task->restrictions_refused))
+  gboolean over = task->defer_until != 0 && now >= task->defer_until;
+  if (S_holds (task) && !(over && task->restriction_call_failed))
     {
-      if (task->hold_until != 0 && !over)
-        *next = MIN (*next, task->hold_until);
+      if (task->defer_until != 0 && !over)
+        *next = MIN (*next, task->defer_until);
       return;
     }
   if (S_holds (task))
     S_go_without (task);
-  task->hold_over = TRUE;
-  for (guint i = 0; i < task->held->len; i++)
+  task->deferral_over = TRUE;
+  for (guint i = 0; i < task->deferred_offers->len; i++)
     {
-      const MrHeldOffer *held = g_ptr_array_index (task->held, i);
-      mr_spread_offer (task->spread, held->kind, mr_text (held->name), held->version,
-                       mr_text_of (held->body), NULL);
+      const MrDeferredOffer *held = g_ptr_array_index (task->deferred_offers, i);
+      mr_replication_offer (task->replication, held->kind, mr_text (held->name), held->version,
+                            mr_text_of (held->body), NULL);
     }
-  g_ptr_array_set_size (task->held, 0);
+  g_ptr_array_set_size (task->deferred_offers, 0);
 }
--- a/src/control_task.c
+++ b/src/control_task.c
@@ -71,9 +71,10 @@
   MrControlTask *task = TASK_OF (host, membership_host);
   GString *bytes = mr_wire_heartbeat (task->settings->name, heartbeat);
   g_autoptr (GString) prepared = S_prepare (task, to, bytes);
-  if (heartbeat->kind == MR_HEARTBEAT_PING && heartbeat->ask == MR_ASK_SOME)
+  if (heartbeat->kind == MR_HEARTBEAT_PING &&
+      heartbeat->members_request == MR_MEMBERS_REQUEST_SAMPLE)
     mr_peer_link_ask (task->link, mr_now (), to->ip, to->peer_port, prepared);
-  else if (heartbeat->kind == MR_HEARTBEAT_ACK && task->asked)
+  else if (heartbeat->kind == MR_HEARTBEAT_ACK && task->ack_on_connection)
     mr_peer_link_answer (task->link, prepared);
   else
     mr_peer_link_send (task->link, mr_now (), to->ip, to->peer_port, prepared);
@@ -82,21 +83,21 @@
 static void
 S_on_member_changed (MrMembershipHost *host, const MrMember *member)
 {
-  mr_control_view_member (TASK_OF (host, membership_host), member);
+  mr_control_view_update_member (TASK_OF (host, membership_host), member);
 }
 
 static void
-S_on_spread_out (MrSpreadHost *host, const char *name, GString *bytes)
+S_on_spread_out (MrReplicationHost *host, const char *name, GString *bytes)
 {
-  mr_control_send (TASK_OF (host, spread_host), name, bytes);
+  mr_control_send (TASK_OF (host, replication_host), name, bytes);
 }
 
 static guint
-S_on_neighbours (MrSpreadHost *host, const char **names)
+S_on_neighbours (MrReplicationHost *host, const char **names)
 {
   const MrMember *neighbours[MR_NEIGHBOURS_MAX];
-  guint count =
-      mr_membership_neighbours (TASK_OF (host, spread_host)->membership, mr_now (), neighbours);
+  guint count = mr_membership_neighbours (TASK_OF (host, replication_host)->membership, mr_now (),
+                                          neighbours);
   for (guint i = 0; i < count; i++)
     names[i] = neighbours[i]->name;
   return count;
@@ -105,13 +106,13 @@
 /* Objects. */
 
 GQueue *
-mr_control_maps (MrControlTask *task, const char *service)
+mr_control_shard_maps (MrControlTask *task, const char *service)
 {
-  GQueue *queue = g_hash_table_lookup (task->maps, service);
+  GQueue *queue = g_hash_table_lookup (task->shard_maps, service);
   if (queue)
     return queue;
   queue = g_queue_new ();
-  g_hash_table_insert (task->maps, g_strdup (service), queue);
+  g_hash_table_insert (task->shard_maps, g_strdup (service), queue);
   return queue;
 }
 
@@ -132,7 +133,7 @@
               object->name, object->version, mr_status_message ());
       return;
     }
-  GQueue *queue = mr_control_maps (task, object->name);
+  GQueue *queue = mr_control_shard_maps (task, object->name);
   g_queue_push_head (queue, map);
   if (queue->length > MAPS_KEPT)
     mr_shard_map_unref (g_queue_pop_tail (queue));
@@ -159,26 +160,26 @@
 {
   if (object->body->len == 0)
     {
-      mr_target_table_remove (task->records, object->name);
+      mr_target_table_remove (task->target_table, object->name);
       return;
     }
-  mr_listing_present (task->listing, object->name, object->version);
+  mr_removal_filter_add_present (task->removal_filter, object->name, object->version);
   MrTargetRecord *record =
       mr_target_record_parse (mr_text (object->name), mr_text_of (object->body));
   if (record)
     {
-      mr_target_table_put (task->records, record);
+      mr_target_table_put (task->target_table, record);
       return;
     }
-  mr_target_table_remove (task->records, object->name);
+  mr_target_table_remove (task->target_table, object->name);
   mr_log (MR_LOG_ERROR, MR_EVENT_OBJECT_BAD, "targets/%s version %" G_GUINT64_FORMAT ": %s",
           object->name, object->version, mr_status_message ());
 }
 
 static void
-S_on_taken (MrSpreadHost *host, const MrObject *object)
+S_on_taken (MrReplicationHost *host, const MrObject *object)
 {
-  MrControlTask *task = TASK_OF (host, spread_host);
+  MrControlTask *task = TASK_OF (host, replication_host);
   mr_log (MR_LOG_INFO, MR_EVENT_OBJECT_NEW, "%s/%s is now version %" G_GUINT64_FORMAT,
           mr_object_kind_name (object->kind), object->name, object->version);
   if (object->kind == MR_OBJECT_SHARD_MAP)
@@ -188,15 +189,15 @@
   if (object->kind == MR_OBJECT_TARGET)
     S_take_target (task, object);
   if (object->kind == MR_OBJECT_ACCEPTED)
-    mr_controller_read (task->controller, mr_now (), "accepted", mr_text (object->name),
-                        object->version, mr_text_of (object->body));
+    mr_controller_object_read (task->controller, mr_now (), "accepted", mr_text (object->name),
+                               object->version, mr_text_of (object->body));
   if (object->kind == MR_OBJECT_EVACUATION)
-    mr_control_evacuation_taken (object);
+    mr_control_evacuation_updated (object);
   if (object->kind == MR_OBJECT_EVIDENCE)
-    mr_control_evidence_taken (task, object->name, object->version);
+    mr_control_evidence_updated (task, object->name, object->version);
   else if (object->kind != MR_OBJECT_TARGET)
     task->view_changed = TRUE;
-  mr_membership_set_digest (task->membership, mr_registry_digest (task->registry));
+  mr_membership_set_registry_digest (task->membership, mr_registry_digest (task->registry));
 }
 
 /* Readiness. */
@@ -206,7 +207,7 @@
 {
   task->ready = TRUE;
   task->view_changed = TRUE;
-  mr_spread_set_complete (task->spread);
+  mr_replication_set_complete (task->replication);
   mr_log (MR_LOG_NOTICE, MR_EVENT_READY, "ready: %u objects, from %s",
           mr_registry_count (task->registry), read ? "the platform" : "peers");
 }
@@ -216,8 +217,8 @@
 static void
 S_check_relay_ready (MrControlTask *task)
 {
-  gboolean read = task->watches[WATCH_TARGETS].since > 0 && mr_control_start_is_over (task);
-  if (task->configuration && (read || mr_spread_synced (task->spread)))
+  gboolean read = task->watches[WATCH_TARGETS].since > 0 && mr_control_start_is_complete (task);
+  if (task->configuration && (read || mr_replication_is_synced (task->replication)))
     S_set_ready (task, read);
 }
 
@@ -231,15 +232,16 @@
       S_check_relay_ready (task);
       return;
     }
-  gboolean read = task->watches[WATCH_ACCEPTED].done && task->watches[WATCH_SHARD_MAPS].done;
-  gboolean synced = mr_spread_synced (task->spread);
+  gboolean read =
+      task->watches[WATCH_ACCEPTED].has_succeeded && task->watches[WATCH_SHARD_MAPS].has_succeeded;
+  gboolean synced = mr_replication_is_synced (task->replication);
   gboolean alone = !mr_membership_joined (task->membership);
-  if (!mr_control_start_knows (task, now, synced || read))
+  if (!mr_control_start_may_serve (task, now, synced || read))
     return;
   /* A read of the platform may be stale and a lone peer may be behind; what a
    * peer confirms, or nobody is there to confirm, is the best there is. */
-  if (!synced && !(read && (now - task->started > CONFIRM_WAIT ||
-                            (alone && now - task->started > CONFIRM_WAIT / 3))))
+  if (!synced && !(read && (now - task->start_time > CONFIRM_WAIT ||
+                            (alone && now - task->start_time > CONFIRM_WAIT / 3))))
     return;
   S_set_ready (task, read);
 }
@@ -283,20 +285,20 @@
   next = MIN (next, mr_controller_tick (task->controller, now));
   mr_control_platform_tick (task, now, &next);
   mr_control_start_tick (task, now, &next);
-  mr_control_platform_removals (task, now, &next);
+  mr_control_platform_apply_removals (task, now, &next);
   mr_control_evidence_tick (task, now, &next);
-  next = MIN (next, mr_spread_tick (task->spread, now));
+  next = MIN (next, mr_replication_tick (task->replication, now));
   S_check_ready (task, now);
   mr_control_view_publish (task);
-  if (now >= task->prune_at)
+  if (now >= task->next_link_prune)
     {
-      task->prune_at = now + PRUNE_GAP;
+      task->next_link_prune = now + PRUNE_GAP;
       mr_membership_foreach (task->membership, S_close_link_of_dead, task->link);
       mr_peer_link_prune (task->link, now);
     }
-  if (now >= task->traffic_at)
+  if (now >= task->next_traffic_log)
     {
-      task->traffic_at = now + TRAFFIC_GAP;
+      task->next_traffic_log = now + TRAFFIC_GAP;
       mr_traffic_log (mr_metrics_get (MR_METRIC_PLATFORM_CALLS));
     }
   return next;
@@ -312,7 +314,7 @@
       mr_peer_link_wait (task->link, task->wake_fd, MAX (next - now, 0));
       guint64 wakes = 0;
       (void) !read (task->wake_fd, &wakes, sizeof wakes);
-      for (MrMessage *m = mr_mailbox_take (task->box); m; m = mr_mailbox_take (task->box))
+      for (MrMessage *m = mr_mailbox_take (task->mailbox); m; m = mr_mailbox_take (task->mailbox))
         S_on_message (task, m);
       mr_control_receive (task);
     }
@@ -386,45 +388,46 @@
   task->link = link;
   task->settings = info->settings;
   task->incarnation = info->incarnation;
-  task->started = mr_now ();
+  task->start_time = mr_now ();
   task->wake_fd = eventfd (0, EFD_NONBLOCK | EFD_CLOEXEC);
-  task->box = mr_mailbox_new (S_wake, task);
+  task->mailbox = mr_mailbox_new (S_wake, task);
   task->random = g_rand_new_with_seed (info->seed);
   task->platform_up = TRUE;
-  task->maps = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, S_free_maps);
+  task->shard_maps = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, S_free_maps);
   task->seeds = g_array_new (FALSE, FALSE, sizeof (MrMember));
   task->membership_host = (MrMembershipHost){
     .send = S_on_heartbeat_out,
-    .changed = S_on_member_changed,
+    .member_changed = S_on_member_changed,
   };
-  task->spread_host = (MrSpreadHost){
+  task->replication_host = (MrReplicationHost){
     .send = S_on_spread_out,
     .neighbours = S_on_neighbours,
-    .taken = S_on_taken,
+    .updated = S_on_taken,
   };
   task->relay = info->relay;
-  task->listing = mr_listing_new ();
-  task->records = mr_target_table_new ();
+  task->removal_filter = mr_removal_filter_new ();
+  task->target_table = mr_target_table_new ();
   task->roster = mr_roster_new ();
-  task->members_told = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  task->members_to_publish = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   mr_control_platform_init (task);
   mr_control_evidence_init (task);
   mr_control_start_init (task);
-  task->evacuations_listed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  task->listed_evacuations = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   MrMember self = S_self (info->settings, info->seed, info->relay);
   task->registry = mr_registry_new ();
   task->membership = mr_membership_new (&task->membership_host, &self, info->seed);
-  task->spread = mr_spread_new (&task->spread_host, task->registry, info->settings->name);
+  task->replication =
+      mr_replication_new (&task->replication_host, task->registry, info->settings->name);
   task->controller = mr_controller_new (&task->controller_host);
-  mr_control_view_member (task, &self);
+  mr_control_view_update_member (task, &self);
   S_read_seeds (task);
-  MrJoiningInfo joining = {
+  MrBootstrapOptions joining = {
     .first_start = info->settings->first_start,
-    .alone = task->seeds->len == 0,
+    .no_other_seeds = task->seeds->len == 0,
     .random = g_rand_double (task->random),
     .capacity = (guint32) info->settings->capacity,
   };
-  mr_joining_init (&task->joining, task->started, &joining);
+  mr_bootstrap_init (&task->bootstrap, task->start_time, &joining);
   return task;
 }
 
@@ -434,15 +437,15 @@
                          MrMailbox *targets,
                          MrMailbox *platform)
 {
-  task->entry = entry;
-  task->targets = targets;
-  task->platform = platform;
+  task->entry_mailbox = entry;
+  task->target_mailbox = targets;
+  task->platform_mailbox = platform;
 }
 
 MrMailbox *
 mr_control_task_mailbox (MrControlTask *task)
 {
-  return task->box;
+  return task->mailbox;
 }
 
 void
@@ -453,19 +456,19 @@
   mr_controller_free (task->controller);
   mr_control_evidence_clear (task);
   mr_control_start_clear (task);
-  g_hash_table_unref (task->evacuations_listed);
-  mr_listing_free (task->listing);
+  g_hash_table_unref (task->listed_evacuations);
+  mr_removal_filter_free (task->removal_filter);
   mr_configuration_unref (task->configuration);
-  mr_target_table_free (task->records);
-  g_hash_table_unref (task->members_told);
+  mr_target_table_free (task->target_table);
+  g_hash_table_unref (task->members_to_publish);
   mr_roster_free (task->roster);
-  mr_spread_free (task->spread);
+  mr_replication_free (task->replication);
   mr_membership_free (task->membership);
   mr_registry_free (task->registry);
-  mr_member_list_unref (task->members);
+  mr_member_list_unref (task->published_members);
   mr_peer_link_free (task->link);
-  mr_mailbox_free (task->box);
-  g_hash_table_unref (task->maps);
+  mr_mailbox_free (task->mailbox);
+  g_hash_table_unref (task->shard_maps);
   g_array_unref (task->seeds);
   g_rand_free (task->random);
   close (task->wake_fd);
--- a/src/control_view.c
+++ b/src/control_view.c
@@ -15,7 +15,7 @@
   json_array_foreach (root, i, item)
   {
     if (json_is_string (item))
-      g_hash_table_add (view->leaving, g_strdup (json_string_value (item)));
+      g_hash_table_add (view->leaving_targets, g_strdup (json_string_value (item)));
   }
   json_decref (root);
 }
@@ -35,8 +35,8 @@
 static void
 S_add_evacuation (const MrObject *object, void *user)
 {
-  if (mr_evacuation_holds (object->version))
-    g_hash_table_add (((ViewBuild *) user)->view->evacuated, g_strdup (object->name));
+  if (mr_evacuation_is_active (object->version))
+    g_hash_table_add (((ViewBuild *) user)->view->evacuated_domains, g_strdup (object->name));
 }
 
 static void
@@ -54,16 +54,16 @@
   if (!accepted.deleted &&
       mr_document_parse (mr_text (object->name), mr_text (accepted.document), &document) == MR_OK)
     mr_view_add_service (build->view, &document, accepted.source, object->version,
-                         g_queue_peek_head (mr_control_maps (build->task, object->name)));
+                         g_queue_peek_head (mr_control_shard_maps (build->task, object->name)));
   mr_accepted_clear (&accepted);
 }
 
 void
-mr_control_view_member (MrControlTask *task, const MrMember *member)
+mr_control_view_update_member (MrControlTask *task, const MrMember *member)
 {
   mr_roster_put (task->roster, member);
   if (task->relay)
-    g_hash_table_add (task->members_told, g_strdup (member->name));
+    g_hash_table_add (task->members_to_publish, g_strdup (member->name));
   else
     task->members_changed = TRUE;
 }
@@ -73,12 +73,12 @@
 static GArray *
 S_take_member_changes (MrControlTask *task)
 {
-  if (g_hash_table_size (task->members_told) == 0)
+  if (g_hash_table_size (task->members_to_publish) == 0)
     return NULL;
   GArray *members = g_array_new (FALSE, FALSE, sizeof (MrMember));
   GHashTableIter iter;
   gpointer name = NULL;
-  g_hash_table_iter_init (&iter, task->members_told);
+  g_hash_table_iter_init (&iter, task->members_to_publish);
   while (g_hash_table_iter_next (&iter, &name, NULL))
     {
       const MrMember *self = mr_membership_self (task->membership);
@@ -87,7 +87,7 @@
       if (member)
         g_array_append_vals (members, member, 1);
     }
-  g_hash_table_remove_all (task->members_told);
+  g_hash_table_remove_all (task->members_to_publish);
   return members;
 }
 
@@ -95,22 +95,22 @@
 static void
 S_publish_changes (MrControlTask *task)
 {
-  GPtrArray *targets = mr_target_table_take_changes (task->records);
+  GPtrArray *targets = mr_target_table_take_changes (task->target_table);
   GArray *members = S_take_member_changes (task);
   if (targets || members)
-    mr_mailbox_post (task->entry, &mr_changes_message_new (targets, members)->base);
+    mr_mailbox_post (task->entry_mailbox, &mr_changes_message_new (targets, members)->base);
 }
 
 static MrView *
 S_view (MrControlTask *task)
 {
-  MrView *view = mr_view_new (task->relay ? NULL : mr_member_list_ref (task->members));
+  MrView *view = mr_view_new (task->relay ? NULL : mr_member_list_ref (task->published_members));
   ViewBuild build = { .task = task, .view = view };
   view->ready = task->ready;
   view->platform_up = task->platform_up;
-  mr_registry_foreach_of (task->registry, MR_OBJECT_VM, S_add_leaving_targets, &build);
-  mr_registry_foreach_of (task->registry, MR_OBJECT_EVACUATION, S_add_evacuation, &build);
-  mr_registry_foreach_of (task->registry, MR_OBJECT_ACCEPTED, S_add_service, &build);
+  mr_registry_foreach_of_kind (task->registry, MR_OBJECT_VM, S_add_leaving_targets, &build);
+  mr_registry_foreach_of_kind (task->registry, MR_OBJECT_EVACUATION, S_add_evacuation, &build);
+  mr_registry_foreach_of_kind (task->registry, MR_OBJECT_ACCEPTED, S_add_service, &build);
   if (task->configuration)
     view->configuration = mr_configuration_ref (task->configuration);
   return view;
@@ -124,15 +124,15 @@
     return;
   if (task->members_changed)
     {
-      mr_member_list_unref (task->members);
-      task->members = mr_membership_list (task->membership);
+      mr_member_list_unref (task->published_members);
+      task->published_members = mr_membership_list (task->membership);
     }
   task->view_changed = FALSE;
   task->members_changed = FALSE;
   MrView *view = S_view (task);
-  mr_mailbox_post (task->entry, &mr_view_message_new (view)->base);
-  if (task->targets)
-    mr_mailbox_post (task->targets, &mr_view_message_new (view)->base);
+  mr_mailbox_post (task->entry_mailbox, &mr_view_message_new (view)->base);
+  if (task->target_mailbox)
+    mr_mailbox_post (task->target_mailbox, &mr_view_message_new (view)->base);
   mr_view_unref (view);
   mr_metrics_add (MR_METRIC_VIEWS, 1);
 }
--- a/src/controller.c
+++ b/src/controller.c
@@ -95,7 +95,7 @@
 }
 
 void
-mr_controller_document (
+mr_controller_document_changed (
     MrController *c, MrText name, guint64 version, MrText body, MrTime not_before)
 {
   Entry *entry = S_entry (c, name);
@@ -126,7 +126,7 @@
 }
 
 void
-mr_controller_read (
+mr_controller_object_read (
     MrController *c, MrTime now, const char *kind, MrText name, guint64 version, MrText body)
 {
   Entry *entry = S_entry (c, name);
@@ -157,7 +157,7 @@
 }
 
 void
-mr_controller_written (
+mr_controller_object_written (
     MrController *c, MrTime now, const char *kind, MrText name, MrStatus status, guint64 version)
 {
   Entry *entry = S_entry (c, name);
@@ -169,7 +169,7 @@
       if (slot == &entry->accepted)
         mr_log (MR_LOG_NOTICE, MR_EVENT_DOCUMENT_ACCEPTED,
                 "document %s is accepted, version %" G_GUINT64_FORMAT, entry->name, version);
-      mr_controller_read (c, now, kind, name, version, mr_text_of (slot->wrote));
+      mr_controller_object_read (c, now, kind, name, version, mr_text_of (slot->wrote));
       return;
     }
   if (status == MR_ERROR_UNAVAIL)
--- a/src/controller.h
+++ b/src/controller.h
@@ -31,26 +31,26 @@
 
 /* News of a document; @body empty: deleted.  Not acted on before @not_before,
  * by which controllers of lower rank stay out of the way. */
-void mr_controller_document (
+void mr_controller_document_changed (
     MrController *controller, MrText name, guint64 version, MrText body, MrTime not_before);
 
 /* News of an object of kind "accepted" or "status", from any source;
  * version 0: it does not exist. */
-void mr_controller_read (MrController *controller,
-                         MrTime now,
-                         const char *kind,
-                         MrText name,
-                         guint64 version,
-                         MrText body);
+void mr_controller_object_read (MrController *controller,
+                                MrTime now,
+                                const char *kind,
+                                MrText name,
+                                guint64 version,
+                                MrText body);
 
 /* A write has ended: MR_OK with the new version, MR_ERROR_CONFLICT,
  * MR_ERROR_UNSURE or MR_ERROR_UNAVAIL. */
-void mr_controller_written (MrController *controller,
-                            MrTime now,
-                            const char *kind,
-                            MrText name,
-                            MrStatus status,
-                            guint64 version);
+void mr_controller_object_written (MrController *controller,
+                                   MrTime now,
+                                   const char *kind,
+                                   MrText name,
+                                   MrStatus status,
+                                   guint64 version);
 
 /* Acts on what is due; returns when to come back. */
 MrTime mr_controller_tick (MrController *controller, MrTime now);
--- a/src/ctl_burn.c
+++ b/src/ctl_burn.c
@@ -20,12 +20,12 @@
   gint64 covered[MR_BURN_WINDOWS]; /* longest history of any daemon, s */
   GHashTable *targets;             /* name -> count */
   GHashTable *domains;
-} Service;
+} TargetGroup;
 
 static void
 S_service_free (gpointer data)
 {
-  Service *service = data;
+  TargetGroup *service = data;
   g_free (service->name);
   g_hash_table_unref (service->targets);
   g_hash_table_unref (service->domains);
@@ -49,10 +49,10 @@
 S_add_service (GHashTable *services, const json_t *part)
 {
   const char *name = json_string_value (json_object_get (part, "service"));
-  Service *service = g_hash_table_lookup (services, name);
+  TargetGroup *service = g_hash_table_lookup (services, name);
   if (!service)
     {
-      service = g_new0 (Service, 1);
+      service = g_new0 (TargetGroup, 1);
       service->name = g_strdup (name);
       service->targets = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
       service->domains = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
@@ -102,7 +102,7 @@
 }
 
 static MrBurnRate
-S_rate (const Service *service, guint objective, guint window)
+S_rate (const TargetGroup *service, guint objective, guint window)
 {
   const MrBurnCounts *counts = &service->counts[window];
   const guint64 bad[OBJECTIVES] = { counts->slow, counts->uncovered, counts->refused };
@@ -113,7 +113,7 @@
 }
 
 static void
-S_print_service (const Service *service)
+S_print_service (const TargetGroup *service)
 {
   static const char *const labels[MR_BURN_WINDOWS] = { "5 min", "1 h", "6 h", "3 days" };
   printf ("%s\n", service->name);
@@ -141,7 +141,7 @@
 }
 
 static json_t *
-S_service_json (const Service *service)
+S_service_json (const TargetGroup *service)
 {
   json_t *objectives = json_object ();
   for (guint o = 0; o < OBJECTIVES; o++)
--- a/src/ctl_log.c
+++ b/src/ctl_log.c
@@ -62,5 +62,5 @@
   gboolean served = ctl_line_number (line, "status") < 300;
   gboolean whole = ctl_line_number (line, "missing") == 0 &&
                    ctl_line_number (line, "sends") == ctl_line_number (line, "parts");
-  return served && whole ? MR_PLAIN_SAMPLE : 1;
+  return served && whole ? MR_SUCCESS_LOG_INTERVAL : 1;
 }
--- a/src/ctl_plot.c
+++ b/src/ctl_plot.c
@@ -154,7 +154,7 @@
 void
 ctl_plot_route (CtlPlot *plot, const char *route, const MrHistogram *latency)
 {
-  if (latency->total == 0)
+  if (latency->count == 0)
     return;
   const char *color = route_colors[plot->routes % G_N_ELEMENTS (route_colors)];
   g_autofree char *name = g_markup_escape_text (route, -1);
@@ -163,12 +163,12 @@
     {
       double us = 1000 * pow (10, DECADES * i / CURVE_STEPS);
       double share =
-          (double) mr_histogram_count_under (latency, (gint64) us) / (double) latency->total;
+          (double) mr_histogram_count_up_to (latency, (gint64) us) / (double) latency->count;
       g_string_append_printf (plot->curves, "%.1f,%.1f ", S_x_of (us), TOP + PANEL - share * PANEL);
     }
   g_string_append_printf (plot->curves,
                           "'/>\n<text x='%d' y='%u' fill='%s'>%s (%" G_GUINT64_FORMAT ")</text>\n",
-                          LEFT + 10, TOP + 20 + 16 * plot->routes, color, name, latency->total);
+                          LEFT + 10, TOP + 20 + 16 * plot->routes, color, name, latency->count);
   plot->routes++;
 }
 
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -22,34 +22,34 @@
 };
 
 static const MrRelayPolicy batch_policy = {
-  .asks = 1,
+  .max_sends_per_target = 1,
   .hedge_quantile = 0.95, /* until a batch brings its document's */
-  .hedge_first_share = 0.25,
-  .hedge_min = 2 * MR_MS,
+  .initial_hedge_fraction = 0.25,
+  .min_hedge_delay = 2 * MR_MS,
   /* The document's bound is for hedges and retries together. */
-  .hedge_share = 1,
-  .mean_first_share = 0.01,
-  .loaded = 0, /* owners share a target's slots exactly */
+  .hedge_budget_share = 1,
+  .initial_mean_fraction = 0.01,
+  .loaded_ratio = 0, /* owners share a target's slots exactly */
   /* Six times the 95 % quantile of a call whose time falls off exponentially. */
-  .silent_factor = 18,
-  .silent_min = 50 * MR_MS,
-  .silent_max = 2 * MR_SECOND,
+  .silence_timeout_factor = 18,
+  .silence_timeout_min = 50 * MR_MS,
+  .silence_timeout_max = 2 * MR_SECOND,
   .linger = MR_NEVER,
   .rank_lag = class_lag,
-  .far_cost = 1, /* not used: an owner is chosen near its targets */
-  .by_address = TRUE,
+  .cross_domain_cost = 1, /* not used: an owner is chosen near its targets */
+  .key_by_address = TRUE,
 };
 
 /* Hedges and retries beside the document's share, in each window: single failures of a
  * quiet service stay repairable, and a daemon that has just started can repair
  * the connections that it loses first (a lost target of 12 shards needs 12).  The
  * bound is for one daemon, so there is nothing to wait for after a start. */
-static const MrWindowTerms batch_budget = {
+static const MrResendBudgetConfig batch_budget = {
   .window = 10 * MR_SECOND,
   .allowance = 20,
   .share = 1,
   .margin = 1,
-  .born = -10 * MR_SECOND,
+  .started_at = -10 * MR_SECOND,
 };
 
 typedef struct
@@ -58,8 +58,8 @@
   MrBatch *batch;
   MrLayout *layout;
   MrRoute route;
-  MrSplitPart *parts;
-  MrRelayWork *work;
+  MrRouteService *parts;
+  MrActiveRequest *work;
   MrMerge *merge;
   MrTimer tell; /* next word to the root that this is worked on */
   gboolean order_done;
@@ -91,23 +91,23 @@
   work->layout = layout;
   work->merge = mr_merge_new (batch->map, MAX (batch->top_k, 1));
   work->tell.owner = work;
-  work->parts = g_new0 (MrSplitPart, MAX (batch->shard_count, 1));
+  work->parts = g_new0 (MrRouteService, MAX (batch->shard_count, 1));
   for (guint i = 0; i < batch->shard_count; i++)
-    work->parts[i] = *mr_layout_part (layout, batch->order ? MR_ALL_SHARDS : batch->shards[i]);
+    work->parts[i] = *mr_layout_shard_set (layout, batch->order ? MR_ALL_SHARDS : batch->shards[i]);
   work->route = (MrRoute){
     .name = batch->map->service,
     .kind = MR_ROUTE_BATCH,
-    .repeatable = !batch->order,
-    .attempts = MR_REPLICAS_MAX,
-    .rank = batch->traffic_class,
+    .idempotent = !batch->order,
+    .attempt_limit = MR_REPLICAS_MAX,
+    .priority = batch->traffic_class,
     .time_limit = batch->deadline - now,
-    .aim = batch->deadline - now,
-    .part_count = batch->shard_count,
-    .parts = work->parts,
+    .latency_goal = batch->deadline - now,
+    .service_count = batch->shard_count,
+    .services = work->parts,
   };
-  mr_layout_begin (layout, &batch->policy);
-  mr_relay_set_pool (d->relay, batch->map->service, batch->policy.extra_calls,
-                     batch->policy.hedge_quantile);
+  mr_layout_acquire (layout, &batch->policy);
+  mr_relay_configure_pool (d->relay, batch->map->service, batch->policy.extra_calls,
+                           batch->policy.hedge_quantile);
   return work;
 }
 
@@ -117,7 +117,7 @@
   Work *work = data;
   MrDispatch *d = work->dispatch;
   mr_timers_set (d->timers, &work->tell, MR_NEVER);
-  mr_layout_end (work->layout);
+  mr_layout_release (work->layout);
   mr_batch_free (work->batch);
   mr_merge_free (work->merge);
   if (work->reply)
@@ -145,7 +145,7 @@
           guint index = batch->order ? r : shard->replicas[r];
           MrTargetState *target = mr_layout_target (work->layout, index);
           if (mr_target_state_usable (target) && g_hash_table_add (seen, target))
-            capacity += mr_limit_calls (&target->limit);
+            capacity += mr_concurrency_limit_calls (&target->limit);
         }
     }
   return capacity;
@@ -160,8 +160,8 @@
   const char *service = batch->map->service;
   double capacity = S_capacity (work);
   double ahead =
-      batch->shard_count + (double) mr_relay_waiting (relay, service, batch->traffic_class);
-  return capacity > 0 ? ahead * mr_relay_mean (relay, service) / capacity : 0;
+      batch->shard_count + (double) mr_relay_queued_parts (relay, service, batch->traffic_class);
+  return capacity > 0 ? ahead * mr_relay_mean_latency (relay, service) / capacity : 0;
 }
 
 /* Refusing early is the only refusal that costs the targets nothing; a batch
@@ -169,7 +169,7 @@
 static gboolean
 S_admit (const Work *work, MrTime now)
 {
-  if (mr_relay_waiting (work->dispatch->relay, work->batch->map->service, MR_CLASS_COUNT) == 0)
+  if (mr_relay_queued_parts (work->dispatch->relay, work->batch->map->service, MR_CLASS_COUNT) == 0)
     return TRUE; /* nobody waits: the estimate has nothing to go on */
   double left = (double) (work->batch->deadline - now);
   return S_expected_wait (work) <= left * class_share[work->batch->traffic_class];
@@ -213,7 +213,7 @@
   for (guint i = 0; result && i < result->sends->len; i++)
     {
       partial->calls++;
-      if (g_array_index (result->sends, MrSendNote, i).reason != MR_SEND_FIRST)
+      if (g_array_index (result->sends, MrSendRecord, i).reason != MR_SEND_FIRST)
         partial->extra++;
     }
   partial->reply = g_steal_pointer (&work->reply);
@@ -250,14 +250,14 @@
   if (!batch->order)
     mr_timers_set (d->timers, &work->tell, now + MR_WORKING_GAP);
   guint64 id = batch->id;
-  MrRelayRequest request = {
-    .request = work,
+  MrRelayRequestParams request = {
+    .host_request = work,
     .route = &work->route,
     .deadline = batch->deadline,
     .fingerprint = mr_batch_content (batch->map->service, batch->order, mr_text_of (batch->query),
                                      d->content_key),
   };
-  MrRelayWork *begun = mr_relay_submit (d->relay, now, &request);
+  MrActiveRequest *begun = mr_relay_submit (d->relay, now, &request);
   if (begun && g_hash_table_lookup (d->works, &id) == work)
     work->work = begun;
 }
@@ -268,7 +268,7 @@
   Work *work = g_hash_table_lookup (d->works, &batch_id);
   if (!work)
     return;
-  mr_relay_forget (d->relay, now, work->work);
+  mr_relay_abandon_request (d->relay, now, work->work);
   g_hash_table_remove (d->works, &batch_id);
 }
 
@@ -278,12 +278,12 @@
 S_on_call (MrRelayHost *host, const MrRelayCall *call)
 {
   MrDispatch *d = (MrDispatch *) host;
-  const Work *work = call->request;
+  const Work *work = call->host_request;
   MrCallStart start = {
     .id = call->id,
     .target = call->target,
     .batch = work->batch,
-    .shard = work->batch->shards[call->part],
+    .shard = work->batch->shards[call->part_index],
   };
   d->host->start_call (d->host, &start);
 }
@@ -301,7 +301,7 @@
 {
   (void) host;
   const Work *work = request;
-  return mr_target_state_holds (target, work->batch->map, now);
+  return mr_target_state_has_snapshot (target, work->batch->map, now);
 }
 
 static void
@@ -322,14 +322,14 @@
 void
 mr_dispatch_evidence (MrDispatch *d, MrTime now, MrFingerprint content, const MrEvidence *evidence)
 {
-  mr_relay_evidence (d->relay, now, content, evidence);
+  mr_relay_merge_evidence (d->relay, now, content, evidence);
 }
 
 static void
 S_on_renew (MrRelayHost *host, const MrTargetState *target)
 {
   MrDispatchHost *owner = ((MrDispatch *) host)->host;
-  owner->renew (owner, target);
+  owner->reconnect (owner, target);
 }
 
 static gboolean
@@ -355,11 +355,11 @@
 static gboolean
 S_take_end (MrDispatch *d, MrTime now, const MrRelayCall *call, MrCallEnd *end)
 {
-  Work *work = call->request;
-  guint shard = work->batch->shards[call->part];
+  Work *work = call->host_request;
+  guint shard = work->batch->shards[call->part_index];
   work->last = call->target;
   if (end->outcome == MR_CALL_NO_SNAPSHOT)
-    mr_target_state_lacks ((MrTargetState *) call->target, work->batch->map, now);
+    mr_target_state_set_snapshot_missing ((MrTargetState *) call->target, work->batch->map, now);
   if (end->outcome != MR_CALL_ANSWER)
     return TRUE;
   if (!S_echo_matches (work, shard, end))
@@ -389,7 +389,7 @@
       d->counts.discarded++;
       return FALSE;
     }
-  gboolean matches = call.request ? S_take_end (d, now, &call, end) : TRUE;
+  gboolean matches = call.host_request ? S_take_end (d, now, &call, end) : TRUE;
   if (end->outcome == MR_CALL_SHED)
     d->counts.shed++;
   mr_relay_call_end (d->relay, now, end->id, end->outcome, NULL);
@@ -412,13 +412,13 @@
 mr_dispatch_target_leaving (MrDispatch *d, MrTime now, const char *key, bool leaving)
 {
   mr_layouts_set_leaving (d->layouts, key, leaving);
-  mr_relay_target_leaving (d->relay, now, key, leaving);
+  mr_relay_set_target_leaving (d->relay, now, key, leaving);
 }
 
 MrTime
 mr_dispatch_tick (MrDispatch *d, MrTime now)
 {
-  mr_layouts_release (d->layouts);
+  mr_layouts_remove_unused (d->layouts);
   MrTime next = mr_relay_tick (d->relay, now);
   for (MrTimer *timer = mr_timers_pop (d->timers, now); timer;
        timer = mr_timers_pop (d->timers, now))
@@ -427,27 +427,27 @@
       mr_timers_set (d->timers, timer, now + MR_WORKING_GAP);
       d->host->done (d->host, mr_partial_new (work->batch->id, MR_PARTIAL_WORKING));
     }
-  return MIN (next, mr_timers_next (d->timers));
+  return MIN (next, mr_timers_next_due (d->timers));
 }
 
 MrDispatch *
 mr_dispatch_new (MrDispatchHost *host, const MrDispatchInfo *info)
 {
   MrDispatch *d = g_new0 (MrDispatch, 1);
-  MrRelayInfo relay = {
+  MrRelayOptions relay = {
     .policy = &batch_policy,
     .budget = batch_budget,
     .seed = info->seed,
     .unix_offset = info->unix_offset,
   };
   d->relay_host = (MrRelayHost){
-    .call = S_on_call,
-    .unwanted = S_on_unwanted,
-    .holds = S_holds,
+    .send_call = S_on_call,
+    .call_abandoned = S_on_unwanted,
+    .can_serve = S_holds,
     .probe = S_on_probe,
-    .renew = S_on_renew,
-    .evidence = S_on_evidence,
-    .done = S_on_done,
+    .reconnect = S_on_renew,
+    .publish_evidence = S_on_evidence,
+    .request_done = S_on_done,
   };
   d->host = host;
   d->content_key = info->content_key;
--- a/src/dispatch.h
+++ b/src/dispatch.h
@@ -54,7 +54,7 @@
   /* Probe on a new connection; result to mr_dispatch_probe_end (). */
   void (*probe) (MrDispatchHost *host, const MrTargetState *target);
   /* Replace the idle connections of @target. */
-  void (*renew) (MrDispatchHost *host, const MrTargetState *target);
+  void (*reconnect) (MrDispatchHost *host, const MrTargetState *target);
   /* Takes @partial; must not call back into the dispatcher. */
   void (*done) (MrDispatchHost *host, MrPartial *partial);
   /* More is known of targets that ended under a content: for all other daemons.  NULL:
--- a/src/entry_plan.c
+++ b/src/entry_plan.c
@@ -31,7 +31,7 @@
 static void
 S_choose (MrEntryPlan *plan, const MrRoster *roster, MrRosterGroup group)
 {
-  double load = (double) mr_roster_load (roster);
+  double load = (double) mr_roster_total_load (roster);
   double capacity = 0;
   guint32 best = 0;
   guint left = mr_roster_group_size (roster, group);
@@ -39,7 +39,7 @@
   for (guint turn = 0; left > 0; turn++)
     {
       g_ptr_array_set_size (row, 0);
-      mr_roster_turn (roster, group, turn, row);
+      mr_roster_add_nth_per_domain (roster, group, turn, row);
       g_ptr_array_sort (row, S_by_score);
       left -= row->len;
       for (guint i = 0; i < row->len; i++)
@@ -63,7 +63,8 @@
 static gboolean
 S_is_lone_small (const MrRoster *roster)
 {
-  return !mr_roster_has_met (roster) && mr_roster_at (roster, 0)->capacity < MR_SMALL_CAPACITY;
+  return !mr_roster_has_known_others (roster) &&
+         mr_roster_at (roster, 0)->capacity < MR_SMALL_CAPACITY;
 }
 
 MrTime
@@ -82,11 +83,11 @@
    * callers wait in front of one that does. */
   if (mr_roster_group_size (roster, MR_ROSTER_READY) > 0)
     S_choose (&plan, roster, MR_ROSTER_READY);
-  else if (mr_roster_group_size (roster, MR_ROSTER_DOUBTFUL) > 0)
-    S_choose (&plan, roster, MR_ROSTER_DOUBTFUL);
+  else if (mr_roster_group_size (roster, MR_ROSTER_SUSPECT) > 0)
+    S_choose (&plan, roster, MR_ROSTER_SUSPECT);
   else if (mr_roster_count (roster) > 0 && !S_is_lone_small (roster))
     S_choose (&plan, roster, MR_ROSTER_STARTING);
-  guint usable = mr_roster_usable (roster);
+  guint usable = mr_roster_usable_count (roster);
   for (guint i = 0; i < plan.entries->len; i++)
     if (g_str_equal (((MrMember *) g_ptr_array_index (plan.entries, i))->name, self))
       plan.is_entry = TRUE;
--- a/src/entry_task.c
+++ b/src/entry_task.c
@@ -214,11 +214,11 @@
       mr_batch_content (chain->service_name, FALSE, content, context->content_key);
   MrEvidence evidence = mr_quarantine_get (context->quarantine, fingerprint);
   if (mr_evidence_standing (&evidence, mr_unix_time ()) != MR_STANDING_QUARANTINED ||
-      mr_evidence_on_probation (&evidence, mr_unix_time ()))
+      mr_evidence_is_probation_due (&evidence, mr_unix_time ()))
     return TRUE;
   return S_refuse (chain, MR_RESULT_QUARANTINED, 0,
                    "the same has ended %u targets; it is sent to none any more",
-                   mr_evidence_ended (&evidence));
+                   mr_evidence_crash_count (&evidence));
 }
 
 /* Requests that passed. */
@@ -425,7 +425,7 @@
   if (message->forget)
     mr_quarantine_remove (quarantine, message->fingerprint);
   else
-    mr_quarantine_offer (quarantine, message->fingerprint, &message->evidence, mr_unix_time (),
+    mr_quarantine_merge (quarantine, message->fingerprint, &message->evidence, mr_unix_time (),
                          NULL);
 }
 
--- a/src/evacuation.h
+++ b/src/evacuation.h
@@ -17,7 +17,7 @@
 
 /* TRUE if the domain's targets get no new work. */
 static inline gboolean
-mr_evacuation_holds (guint64 version)
+mr_evacuation_is_active (guint64 version)
 {
-  return version % MR_VERSIONS_APART != MR_VERSION_REMOVED;
+  return version % MR_VERSION_STRIDE != MR_VERSION_REMOVED;
 }
--- a/src/evidence.c
+++ b/src/evidence.c
@@ -47,10 +47,10 @@
 }
 
 guint
-mr_evidence_ended (const MrEvidence *evidence)
+mr_evidence_crash_count (const MrEvidence *evidence)
 {
   guint count = 0;
-  while (count < MR_EVIDENCE_MARKS && evidence->marks[count] != 0)
+  while (count < MR_EVIDENCE_MAX_MARKS && evidence->marks[count] != 0)
     count++;
   return count;
 }
@@ -61,7 +61,7 @@
   guint64 packed = S_append_bits (0, evidence->cleared, CLEARED_BITS);
   packed = S_append_bits (packed, evidence->probations, PROBATIONS_BITS);
   packed = S_append_bits (packed, evidence->occasions, OCCASIONS_BITS);
-  for (guint i = 0; i < MR_EVIDENCE_MARKS; i++)
+  for (guint i = 0; i < MR_EVIDENCE_MAX_MARKS; i++)
     packed = S_append_bits (packed, evidence->marks[i], MARK_BITS);
   guint32 since_zero = evidence->at - MIN (evidence->at, AT_ZERO);
   return S_append_bits (packed, since_zero / AT_UNIT, AT_BITS);
@@ -80,7 +80,7 @@
 {
   guint since_zero = S_take_bits (&packed, AT_BITS);
   MrEvidence evidence = { .at = since_zero > 0 ? AT_ZERO + since_zero * AT_UNIT : 0 };
-  for (guint i = MR_EVIDENCE_MARKS; i > 0; i--)
+  for (guint i = MR_EVIDENCE_MAX_MARKS; i > 0; i--)
     evidence.marks[i - 1] = (guint8) S_take_bits (&packed, MARK_BITS);
   evidence.occasions = S_take_bits (&packed, OCCASIONS_BITS);
   evidence.probations = S_take_bits (&packed, PROBATIONS_BITS);
@@ -92,7 +92,7 @@
 static void
 S_add_mark (MrEvidence *evidence, guint8 mark)
 {
-  for (guint i = 0; i < MR_EVIDENCE_MARKS; i++)
+  for (guint i = 0; i < MR_EVIDENCE_MAX_MARKS; i++)
     {
       guint8 here = evidence->marks[i];
       if (mark == here)
@@ -108,12 +108,12 @@
 mr_evidence_write (const MrEvidence *evidence, guint32 unix_time)
 {
   json_t *marks = json_array ();
-  for (guint i = 0; i < mr_evidence_ended (evidence); i++)
+  for (guint i = 0; i < mr_evidence_crash_count (evidence); i++)
     json_array_append_new (marks, json_integer (evidence->marks[i]));
   json_t *object =
       json_pack ("{s:s, s:I, s:o, s:I, s:I, s:I, s:I}", "standing",
                  mr_standing_name (mr_evidence_standing (evidence, unix_time)), "ended",
-                 (json_int_t) mr_evidence_ended (evidence), "marks", marks, "occasions",
+                 (json_int_t) mr_evidence_crash_count (evidence), "marks", marks, "occasions",
                  (json_int_t) evidence->occasions, "probations", (json_int_t) evidence->probations,
                  "cleared", (json_int_t) evidence->cleared, "at", (json_int_t) evidence->at);
   char *text = json_dumps (object, JSON_COMPACT);
@@ -183,53 +183,53 @@
 }
 
 bool
-mr_evidence_quarantines (const MrEvidence *evidence)
+mr_evidence_is_quarantined (const MrEvidence *evidence)
 {
-  return evidence->probations > 0 ||
-         (mr_evidence_ended (evidence) >= ENDED_LEAST && evidence->occasions >= OCCASIONS_LEAST);
+  return evidence->probations > 0 || (mr_evidence_crash_count (evidence) >= ENDED_LEAST &&
+                                      evidence->occasions >= OCCASIONS_LEAST);
 }
 
 bool
-mr_evidence_at_bound (const MrEvidence *evidence)
+mr_evidence_needs_exclusive_trial (const MrEvidence *evidence)
 {
-  return mr_evidence_ended (evidence) >= ENDED_AT_BOUND;
+  return mr_evidence_crash_count (evidence) >= ENDED_AT_BOUND;
 }
 
 MrStanding
 mr_evidence_standing (const MrEvidence *evidence, guint32 unix_time)
 {
-  if (mr_evidence_quarantines (evidence))
+  if (mr_evidence_is_quarantined (evidence))
     return MR_STANDING_QUARANTINED;
-  if (mr_evidence_ended (evidence) > 0 && !S_is_older (evidence, SUSPICION_KEPT_S, unix_time))
+  if (mr_evidence_crash_count (evidence) > 0 && !S_is_older (evidence, SUSPICION_KEPT_S, unix_time))
     return MR_STANDING_SUSPECT;
   return MR_STANDING_CLEAR;
 }
 
 bool
-mr_evidence_on_probation (const MrEvidence *evidence, guint32 unix_time)
+mr_evidence_is_probation_due (const MrEvidence *evidence, guint32 unix_time)
 {
-  return mr_evidence_quarantines (evidence) && evidence->probations == 0 &&
+  return mr_evidence_is_quarantined (evidence) && evidence->probations == 0 &&
          S_is_older (evidence, PROBATION_AFTER_S, unix_time);
 }
 
 MrEvidence
-mr_evidence_add (const MrEvidence *known, const MrEvidenceEnd *end)
+mr_evidence_add_crash (const MrEvidence *known, const MrTargetCrash *end)
 {
   MrEvidence sum = *known;
-  guint occasion = MIN (end->base.occasions + 1, OCCASIONS_MOST);
+  guint occasion = MIN (end->evidence_at_send.occasions + 1, OCCASIONS_MOST);
   /* One that has started again, perhaps under its name, and ends on another occasion,
    * counts again; two daemons that lose the same one at one time count it once. */
   guint64 hash = XXH64 (end->target.data, end->target.len, occasion);
   S_add_mark (&sum, (guint8) (MARK_LEAST + hash % MARK_MOST));
   sum.occasions = MAX (known->occasions, occasion);
   if (end->probation)
-    sum.probations = MAX (known->probations, end->base.probations + 1);
+    sum.probations = MAX (known->probations, end->evidence_at_send.probations + 1);
   sum.at = MAX (known->at, end->unix_time);
   return sum;
 }
 
 MrEvidence
-mr_evidence_join (const MrEvidence *a, const MrEvidence *b)
+mr_evidence_merge (const MrEvidence *a, const MrEvidence *b)
 {
   if (a->cleared != b->cleared)
     return a->cleared > b->cleared ? *a : *b;
@@ -237,7 +237,7 @@
   sum.probations = MAX (a->probations, b->probations);
   sum.occasions = MAX (a->occasions, b->occasions);
   sum.at = MAX (a->at, b->at);
-  for (guint i = 0; i < mr_evidence_ended (b); i++)
+  for (guint i = 0; i < mr_evidence_crash_count (b); i++)
     S_add_mark (&sum, b->marks[i]);
   return sum;
 }
@@ -249,7 +249,8 @@
 }
 
 bool
-mr_evidence_is_of_use (const MrEvidence *evidence, guint32 unix_time)
+mr_evidence_is_relevant (const MrEvidence *evidence, guint32 unix_time)
 {
-  return mr_evidence_quarantines (evidence) || !S_is_older (evidence, SUSPICION_KEPT_S, unix_time);
+  return mr_evidence_is_quarantined (evidence) ||
+         !S_is_older (evidence, SUSPICION_KEPT_S, unix_time);
 }
--- a/src/fingerprint.c
+++ b/src/fingerprint.c
@@ -3,7 +3,7 @@
 #include <xxhash.h>
 
 MrFingerprint
-mr_fingerprint (const MrText *texts, guint count, guint64 key)
+mr_fingerprint_compute (const MrText *texts, guint count, guint64 key)
 {
   XXH3_state_t *state = XXH3_createState ();
   XXH3_128bits_reset_withSeed (state, key);
@@ -20,13 +20,13 @@
 }
 
 guint
-mr_fingerprint_hash (gconstpointer key)
+mr_fingerprint_key_hash (gconstpointer key)
 {
   return (guint) ((const MrFingerprint *) key)->low;
 }
 
 gboolean
-mr_fingerprint_same (gconstpointer a, gconstpointer b)
+mr_fingerprint_key_equal (gconstpointer a, gconstpointer b)
 {
   return mr_fingerprint_equal (*(const MrFingerprint *) a, *(const MrFingerprint *) b);
 }
--- a/src/fingerprint.h
+++ b/src/fingerprint.h
@@ -21,7 +21,7 @@
 };
 
 /* Of @count texts in this order; where one ends and the next begins counts. */
-MrFingerprint mr_fingerprint (const MrText *texts, guint count, guint64 key);
+MrFingerprint mr_fingerprint_compute (const MrText *texts, guint count, guint64 key);
 
 /* Hexadecimal digits, ended by NUL. */
 void mr_fingerprint_write (MrFingerprint fingerprint, char out[MR_FINGERPRINT_DIGITS + 1]);
@@ -35,8 +35,8 @@
 }
 
 /* For tables whose keys are pointers to fingerprints. */
-guint mr_fingerprint_hash (gconstpointer key);
-gboolean mr_fingerprint_same (gconstpointer a, gconstpointer b);
+guint mr_fingerprint_key_hash (gconstpointer key);
+gboolean mr_fingerprint_key_equal (gconstpointer a, gconstpointer b);
 
 /* False for a request whose content is not known. */
 static inline bool
--- a/src/health.c
+++ b/src/health.c
@@ -17,34 +17,34 @@
 S_suspect (MrHealth *health, bool silent)
 {
   if (health->state != MR_HEALTH_UP || health->probing)
-    return MR_HEALTH_NOTHING;
+    return MR_HEALTH_ACTION_NONE;
   health->state = MR_HEALTH_SUSPECT;
-  health->silent = silent;
+  health->suspected_by_timeout = silent;
   health->probing = true;
-  return MR_HEALTH_PROBE;
+  return MR_HEALTH_ACTION_PROBE;
 }
 
 MrHealthAction
-mr_health_on_answer (MrHealth *health, MrTime now)
+mr_health_on_success (MrHealth *health, MrTime now)
 {
-  health->answered_at = now;
-  health->failures = 0;
-  health->probe_gap = 0;
-  return MR_HEALTH_NOTHING;
+  health->last_response_at = now;
+  health->consecutive_failures = 0;
+  health->probe_interval = 0;
+  return MR_HEALTH_ACTION_NONE;
 }
 
 void
-mr_health_on_word (MrHealth *health, MrTime now)
+mr_health_on_response (MrHealth *health, MrTime now)
 {
-  health->answered_at = now;
+  health->last_response_at = now;
 }
 
 static void
 S_down (MrHealth *health, MrTime now)
 {
-  MrTime gap = health->probe_gap * 2;
-  health->probe_gap = CLAMP (gap, PROBE_GAP_FIRST, PROBE_GAP_MAX);
-  health->probe_at = now + health->probe_gap;
+  MrTime gap = health->probe_interval * 2;
+  health->probe_interval = CLAMP (gap, PROBE_GAP_FIRST, PROBE_GAP_MAX);
+  health->next_probe_at = now + health->probe_interval;
   health->state = MR_HEALTH_DOWN;
 }
 
@@ -54,41 +54,41 @@
 void
 mr_health_on_failure (MrHealth *health, MrTime now)
 {
-  health->answered_at = now;
-  health->failures++;
-  if (health->state == MR_HEALTH_UP && health->failures >= FAILURES)
+  health->last_response_at = now;
+  health->consecutive_failures++;
+  if (health->state == MR_HEALTH_UP && health->consecutive_failures >= FAILURES)
     S_down (health, now);
 }
 
 MrHealthAction
-mr_health_on_silence (MrHealth *health, MrTime started, MrTime now)
+mr_health_on_timeout (MrHealth *health, MrTime started, MrTime now)
 {
   (void) now;
   /* Other connections have been answered since: only this one is lost, or the
    * call is slow.  The target keeps its work; the connection is closed. */
-  if (health->answered_at > started)
-    return MR_HEALTH_NOTHING;
+  if (health->last_response_at > started)
+    return MR_HEALTH_ACTION_NONE;
   return S_suspect (health, true);
 }
 
 /* What loses one connection mostly loses all that were open then; left to be
  * found one by one, each would cost a call its time. */
 MrHealthAction
-mr_health_on_lost (MrHealth *health, MrTime started, MrTime now)
-{
-  if (now - health->lost_at > LOST_WINDOW)
-    health->lost = 0;
-  health->lost_at = now;
-  health->lost++;
-  MrHealthAction action = mr_health_on_silence (health, started, now);
-  if (action != MR_HEALTH_NOTHING || health->lost < LOST)
+mr_health_on_connection_lost (MrHealth *health, MrTime started, MrTime now)
+{
+  if (now - health->last_lost_at > LOST_WINDOW)
+    health->lost_connections = 0;
+  health->last_lost_at = now;
+  health->lost_connections++;
+  MrHealthAction action = mr_health_on_timeout (health, started, now);
+  if (action != MR_HEALTH_ACTION_NONE || health->lost_connections < LOST)
     return action;
-  health->lost = 0;
-  return health->state == MR_HEALTH_UP ? MR_HEALTH_RENEW : MR_HEALTH_NOTHING;
+  health->lost_connections = 0;
+  return health->state == MR_HEALTH_UP ? MR_HEALTH_ACTION_RECONNECT : MR_HEALTH_ACTION_NONE;
 }
 
 MrHealthAction
-mr_health_on_break (MrHealth *health, MrTime now)
+mr_health_on_connection_error (MrHealth *health, MrTime now)
 {
   (void) now;
   return S_suspect (health, false);
@@ -98,54 +98,54 @@
 S_up (MrHealth *health)
 {
   MrHealthState before = health->state;
-  bool silent = health->silent;
+  bool silent = health->suspected_by_timeout;
   health->state = MR_HEALTH_UP;
-  health->silent = false;
+  health->suspected_by_timeout = false;
   if (before == MR_HEALTH_SUSPECT)
-    return silent ? MR_HEALTH_RENEW : MR_HEALTH_NOTHING;
-  return before == MR_HEALTH_DOWN ? MR_HEALTH_COLD : MR_HEALTH_NOTHING;
+    return silent ? MR_HEALTH_ACTION_RECONNECT : MR_HEALTH_ACTION_NONE;
+  return before == MR_HEALTH_DOWN ? MR_HEALTH_ACTION_SLOW_START : MR_HEALTH_ACTION_NONE;
 }
 
 MrHealthAction
-mr_health_on_probe (MrHealth *health, bool answered, MrTime now)
+mr_health_on_probe_result (MrHealth *health, bool answered, MrTime now)
 {
   health->probing = false;
-  health->absent = !answered;
+  health->probe_failed = !answered;
   if (health->state != MR_HEALTH_SUSPECT && health->state != MR_HEALTH_DOWN)
-    return MR_HEALTH_NOTHING;
+    return MR_HEALTH_ACTION_NONE;
   if (answered)
     {
-      health->answered_at = now;
+      health->last_response_at = now;
       return S_up (health);
     }
   S_down (health, now);
-  return MR_HEALTH_NOTHING;
+  return MR_HEALTH_ACTION_NONE;
 }
 
 void
 mr_health_on_leaving (MrHealth *health, MrTime now)
 {
   health->state = MR_HEALTH_LEAVING;
-  health->leaving_at = now;
+  health->leaving_since = now;
 }
 
 MrHealthAction
 mr_health_on_live (MrHealth *health, MrTime now)
 {
-  if (health->state != MR_HEALTH_LEAVING || now - health->leaving_at < LEAVING_HOLD)
-    return MR_HEALTH_NOTHING;
+  if (health->state != MR_HEALTH_LEAVING || now - health->leaving_since < LEAVING_HOLD)
+    return MR_HEALTH_ACTION_NONE;
   health->state = MR_HEALTH_DOWN;
   health->probing = true;
-  return MR_HEALTH_PROBE;
+  return MR_HEALTH_ACTION_PROBE;
 }
 
 MrHealthAction
 mr_health_tick (MrHealth *health, MrTime now)
 {
-  if (health->state != MR_HEALTH_DOWN || health->probing || now < health->probe_at)
-    return MR_HEALTH_NOTHING;
+  if (health->state != MR_HEALTH_DOWN || health->probing || now < health->next_probe_at)
+    return MR_HEALTH_ACTION_NONE;
   health->probing = true;
-  return MR_HEALTH_PROBE;
+  return MR_HEALTH_ACTION_PROBE;
 }
 
 bool
@@ -159,13 +159,13 @@
 }
 
 bool
-mr_health_after_break (const MrHealth *health)
+mr_health_suspected_by_connection_error (const MrHealth *health)
 {
-  return health->state == MR_HEALTH_SUSPECT && !health->silent;
+  return health->state == MR_HEALTH_SUSPECT && !health->suspected_by_timeout;
 }
 
 const char *
-mr_health_name (MrHealthState state)
+mr_health_state_name (MrHealthState state)
 {
   static const char *const names[] = {
     [MR_HEALTH_UP] = "up",
--- a/src/health.h
+++ b/src/health.h
@@ -19,41 +19,41 @@
 /* What the owner of the target has to do after an event. */
 typedef enum
 {
-  MR_HEALTH_NOTHING,
-  MR_HEALTH_PROBE, /* probe on a new connection now */
-  MR_HEALTH_RENEW, /* old connections are lost: replace them */
-  MR_HEALTH_COLD,  /* back after an absence: start slowly */
+  MR_HEALTH_ACTION_NONE,
+  MR_HEALTH_ACTION_PROBE,      /* probe on a new connection now */
+  MR_HEALTH_ACTION_RECONNECT,  /* old connections are lost: replace them */
+  MR_HEALTH_ACTION_SLOW_START, /* back after an absence: start slowly */
 } MrHealthAction;
 
 typedef struct
 {
   MrHealthState state;
   bool probing;
-  bool silent;        /* the suspicion came from an unanswered call */
-  bool absent;        /* the last probe found nobody there */
-  MrTime answered_at; /* last answer of any kind */
-  MrTime probe_at;    /* next probe while down */
-  MrTime probe_gap;   /* between probes; grows while down */
-  MrTime leaving_at;  /* when it was first said to leave */
-  unsigned failures;  /* wrong or failed answers in a row */
-  unsigned lost;      /* connections given up lately */
-  MrTime lost_at;
+  bool suspected_by_timeout;     /* the suspicion came from an unanswered call */
+  bool probe_failed;             /* the last probe found nobody there */
+  MrTime last_response_at;       /* last answer of any kind */
+  MrTime next_probe_at;          /* next probe while down */
+  MrTime probe_interval;         /* between probes; grows while down */
+  MrTime leaving_since;          /* when it was first said to leave */
+  unsigned consecutive_failures; /* wrong or failed answers in a row */
+  unsigned lost_connections;     /* connections given up lately */
+  MrTime last_lost_at;
 } MrHealth;
 
 /* A right answer to a call. */
-MrHealthAction mr_health_on_answer (MrHealth *health, MrTime now);
+MrHealthAction mr_health_on_success (MrHealth *health, MrTime now);
 /* Word of it that is no answer: a refusal, a cancellation confirmed. */
-void mr_health_on_word (MrHealth *health, MrTime now);
+void mr_health_on_response (MrHealth *health, MrTime now);
 /* It answered with an error, or with something that was not asked for. */
 void mr_health_on_failure (MrHealth *health, MrTime now);
 /* A call begun at @started stays unanswered. */
-MrHealthAction mr_health_on_silence (MrHealth *health, MrTime started, MrTime now);
+MrHealthAction mr_health_on_timeout (MrHealth *health, MrTime started, MrTime now);
 /* A call begun at @started got neither an answer nor a word on its cancellation;
  * its connection was closed. */
-MrHealthAction mr_health_on_lost (MrHealth *health, MrTime started, MrTime now);
+MrHealthAction mr_health_on_connection_lost (MrHealth *health, MrTime started, MrTime now);
 /* A connection was refused or broken. */
-MrHealthAction mr_health_on_break (MrHealth *health, MrTime now);
-MrHealthAction mr_health_on_probe (MrHealth *health, bool answered, MrTime now);
+MrHealthAction mr_health_on_connection_error (MrHealth *health, MrTime now);
+MrHealthAction mr_health_on_probe_result (MrHealth *health, bool answered, MrTime now);
 void mr_health_on_leaving (MrHealth *health, MrTime now);
 /* The list of VMs says it is live again. */
 MrHealthAction mr_health_on_live (MrHealth *health, MrTime now);
@@ -61,5 +61,5 @@
 
 bool mr_health_usable (const MrHealth *health);
 /* TRUE if it is being probed because a connection broke: its process may just be ending. */
-bool mr_health_after_break (const MrHealth *health);
-const char *mr_health_name (MrHealthState state);
+bool mr_health_suspected_by_connection_error (const MrHealth *health);
+const char *mr_health_state_name (MrHealthState state);
--- a/src/histogram.h
+++ b/src/histogram.h
@@ -9,14 +9,14 @@
 
 enum
 {
-  MR_HISTOGRAM_STEPS = 16,
+  MR_HISTOGRAM_SUBBUCKETS = 16,
   MR_HISTOGRAM_OCTAVES = 24,
-  MR_HISTOGRAM_BUCKETS = MR_HISTOGRAM_STEPS * MR_HISTOGRAM_OCTAVES,
+  MR_HISTOGRAM_BUCKETS = MR_HISTOGRAM_SUBBUCKETS * MR_HISTOGRAM_OCTAVES,
 };
 
 typedef struct
 {
-  guint64 total;
+  guint64 count;
   guint64 sum; /* of all values */
   guint32 buckets[MR_HISTOGRAM_BUCKETS];
 } MrHistogram;
@@ -27,10 +27,10 @@
 gint64 mr_histogram_quantile (const MrHistogram *histogram, double quantile);
 
 /* Values at or under @limit, to the resolution of a bucket. */
-guint64 mr_histogram_count_under (const MrHistogram *histogram, gint64 limit);
+guint64 mr_histogram_count_up_to (const MrHistogram *histogram, gint64 limit);
 
 /* Halves every bucket, so that old values fade out of a running estimate. */
 void mr_histogram_decay (MrHistogram *histogram);
 
 /* Largest value that falls into bucket @index. */
-gint64 mr_histogram_upper (guint index);
+gint64 mr_histogram_bucket_max (guint index);
--- a/src/layout.c
+++ b/src/layout.c
@@ -4,8 +4,8 @@
 {
   MrShardMap *map;
   char *all; /* name of the set of all targets */
-  MrSplitPart everything;
-  MrSplitPart *shards; /* names of the shards' sets */
+  MrRouteService everything;
+  MrRouteService *shards; /* names of the shards' sets */
   MrTargetState **states;
   MrPolicy policy; /* that the targets' limits were set by */
   guint open;      /* batches that use it */
@@ -76,7 +76,7 @@
   char key[64];
   g_snprintf (key, sizeof key, "%s:%d", target->ip, target->port);
   gboolean leaving = g_hash_table_contains (layouts->leaving, key);
-  layout->states[index] = mr_relay_target (layouts->relay, now, set, target, leaving, 0);
+  layout->states[index] = mr_relay_update_target (layouts->relay, now, set, target, leaving, 0);
 }
 
 static MrLayout *
@@ -85,17 +85,17 @@
   MrLayout *layout = g_new0 (MrLayout, 1);
   layout->map = mr_shard_map_ref (map);
   layout->all = all;
-  layout->everything = (MrSplitPart){ .service = all };
-  layout->shards = g_new0 (MrSplitPart, map->shard_count + 1);
+  layout->everything = (MrRouteService){ .service = all };
+  layout->shards = g_new0 (MrRouteService, map->shard_count + 1);
   layout->states = g_new0 (MrTargetState *, map->target_count + 1);
-  mr_relay_add_set (layouts->relay, all, map->service);
+  mr_relay_add_group (layouts->relay, all, map->service);
   for (guint i = 0; i < map->target_count; i++)
     S_add_to_set (layouts, now, layout, all, i);
   for (guint i = 0; i < map->shard_count; i++)
     {
       const MrShard *shard = &map->shards[i];
       layout->shards[i].service = g_strdup_printf ("%s/%s", all, shard->name);
-      mr_relay_add_set (layouts->relay, layout->shards[i].service, map->service);
+      mr_relay_add_group (layouts->relay, layout->shards[i].service, map->service);
       for (guint r = 0; r < shard->replica_count; r++)
         S_add_to_set (layouts, now, layout, layout->shards[i].service, shard->replicas[r]);
     }
@@ -120,7 +120,7 @@
 }
 
 void
-mr_layouts_release (MrLayouts *layouts)
+mr_layouts_remove_unused (MrLayouts *layouts)
 {
   GHashTableIter iter;
   gpointer item = NULL;
@@ -133,8 +133,8 @@
       if (!layout->old || layout->open > 0)
         continue;
       for (guint i = 0; i < layout->map->shard_count; i++)
-        mr_relay_remove_set (layouts->relay, layout->shards[i].service);
-      mr_relay_remove_set (layouts->relay, layout->all);
+        mr_relay_remove_group (layouts->relay, layout->shards[i].service);
+      mr_relay_remove_group (layouts->relay, layout->all);
       g_hash_table_iter_remove (&iter);
       layouts->old--;
     }
@@ -166,25 +166,26 @@
       guint slots = layout->map->targets[i].slots;
       if (policy->target_limit > 0)
         slots = MIN (slots, policy->target_limit);
-      mr_limit_set_most (&layout->states[i]->limit, (double) slots / MAX (policy->owners, 1));
+      mr_concurrency_limit_set_max (&layout->states[i]->limit,
+                                    (double) slots / MAX (policy->owners, 1));
     }
 }
 
 void
-mr_layout_begin (MrLayout *layout, const MrPolicy *policy)
+mr_layout_acquire (MrLayout *layout, const MrPolicy *policy)
 {
   layout->open++;
   S_set_limits (layout, policy);
 }
 
 void
-mr_layout_end (MrLayout *layout)
+mr_layout_release (MrLayout *layout)
 {
   layout->open--;
 }
 
-const MrSplitPart *
-mr_layout_part (const MrLayout *layout, guint shard)
+const MrRouteService *
+mr_layout_shard_set (const MrLayout *layout, guint shard)
 {
   return shard == MR_ALL_SHARDS ? &layout->everything : &layout->shards[shard];
 }
--- a/src/layout.h
+++ b/src/layout.h
@@ -22,16 +22,16 @@
 MrLayout *mr_layouts_get (MrLayouts *layouts, MrTime now, MrShardMap *map);
 /* Takes down what no batch needs; not from within a callback of the engine, which
  * may be in the middle of one of the sets. */
-void mr_layouts_release (MrLayouts *layouts);
+void mr_layouts_remove_unused (MrLayouts *layouts);
 /* The target at @key ("ip:port") is listed as leaving, in use already or not. */
 void mr_layouts_set_leaving (MrLayouts *layouts, const char *key, gboolean leaving);
 guint mr_layouts_count (const MrLayouts *layouts);
 
 /* A batch begins to use the layout; its targets' limits become this daemon's share
  * of their slots. */
-void mr_layout_begin (MrLayout *layout, const MrPolicy *policy);
-void mr_layout_end (MrLayout *layout);
+void mr_layout_acquire (MrLayout *layout, const MrPolicy *policy);
+void mr_layout_release (MrLayout *layout);
 /* The set of a shard, as a route names it. */
-const MrSplitPart *mr_layout_part (const MrLayout *layout, guint shard);
+const MrRouteService *mr_layout_shard_set (const MrLayout *layout, guint shard);
 /* The state of a target of the map. */
 MrTargetState *mr_layout_target (const MrLayout *layout, guint index);
--- a/src/member.h
+++ b/src/member.h
@@ -31,11 +31,11 @@
   char domain[MR_NAME_MAX + 1];
   char region[MR_NAME_MAX + 1];
   MrMemberState state;
-  guint32 refutations; /* raised by the member itself with each news of it */
-  gboolean busy;       /* starts, or refuses load now: not to be handed to callers */
-  gboolean cut_off;    /* can't reach the platform */
-  guint32 capacity;    /* processor that it may use, in thousandths of a core */
-  guint32 load;        /* of these, what requests take; in coarse steps */
+  guint32 state_version;         /* raised by the member itself with each news of it */
+  gboolean busy;                 /* starts, or refuses load now: not to be handed to callers */
+  gboolean platform_unreachable; /* can't reach the platform */
+  guint32 capacity;              /* processor that it may use, in thousandths of a core */
+  guint32 load;                  /* of these, what requests take; in coarse steps */
 } MrMember;
 
 typedef struct
--- a/src/membership.c
+++ b/src/membership.c
@@ -45,8 +45,8 @@
   m->seeds = g_array_new (FALSE, FALSE, sizeof (MrMember));
   m->random = g_rand_new_with_seed (seed);
   /* An answer that was meant for the process before fits no number of this one. */
-  m->last_news = g_rand_int (m->random);
-  m->last_number = g_rand_int (m->random);
+  m->last_update_seq = g_rand_int (m->random);
+  m->last_ping_id = g_rand_int (m->random);
   m->links_stale = TRUE;
   return m;
 }
@@ -71,9 +71,9 @@
 }
 
 void
-mr_membership_set_digest (MrMembership *m, guint64 digest)
+mr_membership_set_registry_digest (MrMembership *m, guint64 digest)
 {
-  m->digest = digest;
+  m->registry_digest = digest;
 }
 
 /* @teller: who told of it; NULL: nobody, it was found out here. */
@@ -81,13 +81,13 @@
 S_changed (MrMembership *m, MrTime now, Peer *peer, const char *teller, gboolean urgent)
 {
   peer->changed_at = now;
-  peer->news = ++m->last_news;
-  peer->teller = teller ? g_str_hash (teller) : 0;
+  peer->update_seq = ++m->last_update_seq;
+  peer->source_hash = teller ? g_str_hash (teller) : 0;
   if (urgent)
-    m->urgent = peer->news;
+    m->last_urgent_seq = peer->update_seq;
   m->links_stale = TRUE;
   m->members_digest = 0;
-  m->host->changed (m->host, &peer->member);
+  m->host->member_changed (m->host, &peer->member);
 }
 
 static MrHeartbeat
@@ -95,9 +95,9 @@
 {
   return (MrHeartbeat){
     .kind = kind,
-    .number = number,
-    .digest = m->digest,
-    .members = mr_membership_digest (m),
+    .ping_id = number,
+    .registry_digest = m->registry_digest,
+    .members_digest = mr_membership_members_digest (m),
     .from = m->self.member,
     .updates = updates,
   };
@@ -107,12 +107,12 @@
 S_send_all (MrMembership *m, MrTime now, Peer *peer, guint64 number)
 {
   MrHeartbeat heartbeat = S_heartbeat (m, MR_HEARTBEAT_ACK, number, NULL);
-  mr_news_all (m, &heartbeat);
-  heartbeat.taken = peer->taken;
-  peer->told = heartbeat.upto;
-  peer->told_at = now;
-  peer->told_all_at = now;
-  m->told_all_at = now;
+  mr_updates_fill_all (m, &heartbeat);
+  heartbeat.updates_acked = peer->received_seq;
+  peer->sent_seq = heartbeat.updates_upto;
+  peer->sent_at = now;
+  peer->full_list_sent_at = now;
+  m->full_list_sent_at = now;
   m->host->send (m->host, &peer->member, &heartbeat);
   g_free (heartbeat.updates);
 }
@@ -123,8 +123,8 @@
 {
   if (news->incarnation != known->incarnation)
     return news->incarnation > known->incarnation;
-  if (news->refutations != known->refutations)
-    return news->refutations > known->refutations;
+  if (news->state_version != known->state_version)
+    return news->state_version > known->state_version;
   return news->state > known->state;
 }
 
@@ -139,16 +139,16 @@
     {
       /* An earlier process with a clock ahead of ours: go past it. */
       self->incarnation = news->incarnation + 1;
-      self->refutations = 0;
+      self->state_version = 0;
       S_changed (m, now, &m->self, NULL, TRUE);
       return;
     }
   if (news->incarnation < self->incarnation || news->state == MR_MEMBER_ALIVE ||
-      news->refutations < self->refutations || news->state == self->state)
+      news->state_version < self->state_version || news->state == self->state)
     return;
   if (!MR_SAFEGUARD (MR_GUARD_REFUTE))
     return;
-  self->refutations = news->refutations + 1;
+  self->state_version = news->state_version + 1;
   mr_log (MR_LOG_NOTICE, MR_EVENT_REFUTED, "others call this daemon %s; refuted",
           mr_member_state_name (news->state));
   S_changed (m, now, &m->self, NULL, TRUE);
@@ -172,7 +172,7 @@
 S_is_urgent (const MrMember *news, const MrMember *known)
 {
   return news->incarnation != known->incarnation || news->state != known->state ||
-         news->busy != known->busy || news->cut_off != known->cut_off;
+         news->busy != known->busy || news->platform_unreachable != known->platform_unreachable;
 }
 
 static void
@@ -199,8 +199,8 @@
       urgent = S_is_urgent (news, &peer->member);
       if (news->incarnation != peer->member.incarnation)
         {
-          peer->misses = 0;
-          mr_news_reset (peer);
+          peer->missed_acks = 0;
+          mr_updates_reset_link (peer);
         }
       if (news->state != peer->member.state || news->incarnation != peer->member.incarnation)
         S_log_state (news);
@@ -216,38 +216,39 @@
 static gboolean
 S_missed_news (MrMembership *m, MrTime now, Peer *peer, guint64 digest)
 {
-  if (digest == mr_membership_digest (m))
+  if (digest == mr_membership_members_digest (m))
     {
-      peer->differs_since = 0;
+      peer->view_differs_since = 0;
       return FALSE;
     }
-  if (peer->differs_since == 0)
-    peer->differs_since = now;
-  return now - peer->differs_since >= DIFFER_MAX &&
-         (peer->told_all_at == 0 || now - peer->told_all_at >= TELL_ALL_GAP) &&
-         (m->told_all_at == 0 || now - m->told_all_at >= LISTS_GAP);
+  if (peer->view_differs_since == 0)
+    peer->view_differs_since = now;
+  return now - peer->view_differs_since >= DIFFER_MAX &&
+         (peer->full_list_sent_at == 0 || now - peer->full_list_sent_at >= TELL_ALL_GAP) &&
+         (m->full_list_sent_at == 0 || now - m->full_list_sent_at >= LISTS_GAP);
 }
 
 static void
 S_on_ping (MrMembership *m, MrTime now, Peer *peer, const MrHeartbeat *ping)
 {
-  MrMember updates[MR_UPDATES_MAX];
-  MrHeartbeat ack = S_heartbeat (m, MR_HEARTBEAT_ACK, ping->number, updates);
-  if (ping->ask == MR_ASK_ALL || S_missed_news (m, now, peer, ping->members))
+  MrMember updates[MR_HEARTBEAT_UPDATES_MAX];
+  MrHeartbeat ack = S_heartbeat (m, MR_HEARTBEAT_ACK, ping->ping_id, updates);
+  if (ping->members_request == MR_MEMBERS_REQUEST_ALL ||
+      S_missed_news (m, now, peer, ping->members_digest))
     {
-      S_send_all (m, now, peer, ping->number);
+      S_send_all (m, now, peer, ping->ping_id);
       return;
     }
-  ack.taken = peer->taken;
+  ack.updates_acked = peer->received_seq;
   /* A sender that is called something else here must hear of it, or it can't refute. */
   if (peer->member.state != ping->from.state || peer->member.incarnation != ping->from.incarnation)
     updates[ack.update_count++] = peer->member;
-  if (ping->ask == MR_ASK_SOME)
-    mr_news_some (m, &ping->from, &ack);
-  else if (!ping->watch_only)
+  if (ping->members_request == MR_MEMBERS_REQUEST_SAMPLE)
+    mr_updates_fill_sample (m, &ping->from, &ack);
+  else if (!ping->no_updates)
     {
-      peer->pinged_at = now;
-      mr_news_tell (m, now, peer, &ack);
+      peer->pinged_us_at = now;
+      mr_updates_fill (m, now, peer, &ack);
     }
   m->host->send (m->host, &ping->from, &ack);
 }
@@ -255,12 +256,12 @@
 static void
 S_on_ack (MrMembership *m, MrTime now, Peer *peer, const MrHeartbeat *ack)
 {
-  if (ack->list)
-    m->listed = TRUE;
-  if (peer->waiting != ack->number)
+  if (ack->is_full_list)
+    m->list_received = TRUE;
+  if (peer->pending_ping != ack->ping_id)
     return;
-  peer->waiting = 0;
-  peer->misses = 0;
+  peer->pending_ping = 0;
+  peer->missed_acks = 0;
   peer->ping_at = now + PING_GAP;
 }
 
@@ -278,7 +279,7 @@
   if (!peer)
     return; /* it says that it has left */
   if (peer->member.incarnation == heartbeat->from.incarnation)
-    mr_news_heard (m, now, peer, heartbeat);
+    mr_updates_on_heartbeat (m, now, peer, heartbeat);
   if (heartbeat->kind == MR_HEARTBEAT_PING)
     S_on_ping (m, now, peer, heartbeat);
   else
@@ -304,14 +305,14 @@
 S_ping (MrMembership *m, MrTime now, guint index)
 {
   Peer *peer = m->links[index];
-  MrMember updates[MR_UPDATES_MAX];
-  peer->waiting = ++m->last_number;
+  MrMember updates[MR_HEARTBEAT_UPDATES_MAX];
+  peer->pending_ping = ++m->last_ping_id;
   peer->ping_at = now + ACK_WAIT;
-  MrHeartbeat ping = S_heartbeat (m, MR_HEARTBEAT_PING, peer->waiting, updates);
-  ping.watch_only = m->watch_only[index];
-  ping.taken = peer->taken;
-  if (!ping.watch_only)
-    mr_news_tell (m, now, peer, &ping);
+  MrHeartbeat ping = S_heartbeat (m, MR_HEARTBEAT_PING, peer->pending_ping, updates);
+  ping.no_updates = m->no_updates[index];
+  ping.updates_acked = peer->received_seq;
+  if (!ping.no_updates)
+    mr_updates_fill (m, now, peer, &ping);
   m->host->send (m->host, &peer->member, &ping);
 }
 
@@ -322,11 +323,11 @@
   for (guint i = 0; i < m->link_count; i++)
     {
       Peer *peer = m->links[i];
-      gboolean urgent =
-          peer->waiting == 0 && !m->watch_only[i] && mr_news_urgent (m, now, peer, next);
+      gboolean urgent = peer->pending_ping == 0 && !m->no_updates[i] &&
+                        mr_updates_urgent_due (m, now, peer, next);
       if (peer->ping_at <= now || urgent)
         {
-          if (peer->waiting != 0 && ++peer->misses >= MISSES)
+          if (peer->pending_ping != 0 && ++peer->missed_acks >= MISSES)
             S_suspect (m, now, peer);
           S_ping (m, now, i);
         }
@@ -354,7 +355,7 @@
           else
             *next = MIN (*next, peer->changed_at + SUSPICION);
         }
-      if (!mr_peer_present (peer) && now >= peer->changed_at + BURIAL)
+      if (!mr_peer_is_present (peer) && now >= peer->changed_at + BURIAL)
         {
           m->links_stale = TRUE;
           m->members_digest = 0;
@@ -365,11 +366,11 @@
 
 /* @to: a member or the bare address of one. */
 static void
-S_ask (MrMembership *m, const MrMember *to, MrHeartbeatAsk ask)
+S_ask (MrMembership *m, const MrMember *to, MrMembersRequest ask)
 {
-  MrMember updates[MR_UPDATES_MAX];
-  MrHeartbeat ping = S_heartbeat (m, MR_HEARTBEAT_PING, ++m->last_number, updates);
-  ping.ask = ask;
+  MrMember updates[MR_HEARTBEAT_UPDATES_MAX];
+  MrHeartbeat ping = S_heartbeat (m, MR_HEARTBEAT_PING, ++m->last_ping_id, updates);
+  ping.members_request = ask;
   /* One that is called dead here refutes it, if it lives. */
   if (to->name[0] != '\0' && to->state >= MR_MEMBER_LEFT)
     updates[ping.update_count++] = *to;
@@ -381,9 +382,9 @@
 {
   if (m->joined)
     return JOIN_GAP;
-  if (m->started == 0)
-    m->started = now;
-  return now - m->started < JUST_STARTED ? JOIN_GAP_FIRST : JOIN_GAP_ALONE;
+  if (m->first_tick_at == 0)
+    m->first_tick_at = now;
+  return now - m->first_tick_at < JUST_STARTED ? JOIN_GAP_FIRST : JOIN_GAP_ALONE;
 }
 
 /* Asks one address that should be a member and is not seen as one: a seed, or
@@ -404,7 +405,7 @@
       while (g_hash_table_iter_next (&iter, NULL, &item))
         {
           const MrMember *member = &((Peer *) item)->member;
-          if (mr_peer_present (item))
+          if (mr_peer_is_present (item))
             g_hash_table_add (present, g_strdup_printf ("%s:%d", member->ip, member->peer_port));
           else if (member->state == MR_MEMBER_DEAD)
             g_ptr_array_add (absent, (gpointer) member);
@@ -420,12 +421,12 @@
         }
       if (m->join_at == 0)
         for (guint i = 0; i < absent->len; i++)
-          S_ask (m, g_ptr_array_index (absent, i), MR_ASK_SOME);
+          S_ask (m, g_ptr_array_index (absent, i), MR_MEMBERS_REQUEST_SAMPLE);
       else if (absent->len > 0)
         S_ask (m,
                g_ptr_array_index (absent,
                                   (guint) g_rand_int_range (m->random, 0, (gint32) absent->len)),
-               MR_ASK_SOME);
+               MR_MEMBERS_REQUEST_SAMPLE);
       MrTime gap = S_join_gap (m, now);
       m->join_at = now + gap / 2 + (MrTime) (g_rand_double (m->random) * (double) gap);
     }
@@ -445,8 +446,8 @@
   while (g_hash_table_iter_next (&iter, NULL, &item))
     {
       const Peer *peer = item;
-      gboolean is_near = mr_peer_is_near (m, peer);
-      if (!mr_peer_present (peer) || (near && !is_near))
+      gboolean is_near = mr_peer_is_in_own_domain (m, peer);
+      if (!mr_peer_is_present (peer) || (near && !is_near))
         continue;
       if (is_near && !near)
         {
@@ -464,34 +465,34 @@
 static void
 S_tick_list (MrMembership *m, MrTime now, MrTime *next)
 {
-  if (m->listed || !m->joined)
+  if (m->list_received || !m->joined)
     return;
-  if (now >= m->list_at)
+  if (now >= m->request_list_at)
     {
       const Peer *teller = S_choose_teller (m);
       if (teller)
-        S_ask (m, &teller->member, MR_ASK_ALL);
-      m->list_at = now + LIST_GAP;
+        S_ask (m, &teller->member, MR_MEMBERS_REQUEST_ALL);
+      m->request_list_at = now + LIST_GAP;
     }
-  *next = MIN (*next, m->list_at);
+  *next = MIN (*next, m->request_list_at);
 }
 
 static void
 S_tick_look (MrMembership *m, MrTime now, MrTime *next)
 {
-  if (!m->joined || m->looks >= LOOKS || m->seeds->len == 0)
+  if (!m->joined || m->seed_asks >= LOOKS || m->seeds->len == 0)
     return;
-  if (m->look_at == 0)
-    m->look_at = now + LOOK_GAP;
-  if (now >= m->look_at)
+  if (m->ask_seed_at == 0)
+    m->ask_seed_at = now + LOOK_GAP;
+  if (now >= m->ask_seed_at)
     {
       guint which = (guint) g_rand_int_range (m->random, 0, (gint32) m->seeds->len);
-      S_ask (m, &g_array_index (m->seeds, MrMember, which), MR_ASK_SOME);
-      m->look_at = now + 2 * LOOK_GAP;
-      m->looks++;
+      S_ask (m, &g_array_index (m->seeds, MrMember, which), MR_MEMBERS_REQUEST_SAMPLE);
+      m->ask_seed_at = now + 2 * LOOK_GAP;
+      m->seed_asks++;
     }
-  if (m->looks < LOOKS)
-    *next = MIN (*next, m->look_at);
+  if (m->seed_asks < LOOKS)
+    *next = MIN (*next, m->ask_seed_at);
 }
 
 /* After a stop of this process every ping that was out looks overdue, though it
@@ -506,8 +507,8 @@
   while (g_hash_table_iter_next (&iter, NULL, &item))
     {
       Peer *peer = item;
-      peer->misses = 0;
-      peer->waiting = 0;
+      peer->missed_acks = 0;
+      peer->pending_ping = 0;
       peer->ping_at = now;
       if (peer->member.state == MR_MEMBER_SUSPECT)
         peer->changed_at = now;
@@ -517,9 +518,9 @@
 MrTime
 mr_membership_tick (MrMembership *m, MrTime now)
 {
-  if (m->ticked_at != 0 && now - m->ticked_at > FROZEN)
+  if (m->last_tick_at != 0 && now - m->last_tick_at > FROZEN)
     S_forgive (m, now);
-  m->ticked_at = now;
+  m->last_tick_at = now;
   MrTime next = now + PING_GAP;
   S_tick_peers (m, now, &next);
   S_tick_links (m, now, &next);
@@ -532,7 +533,7 @@
 static void
 S_changed_self (MrMembership *m, MrTime now)
 {
-  m->self.member.refutations++;
+  m->self.member.state_version++;
   S_changed (m, now, &m->self, NULL, FALSE);
 }
 
@@ -555,11 +556,11 @@
 }
 
 void
-mr_membership_set_cut_off (MrMembership *m, MrTime now, gboolean cut_off)
+mr_membership_set_platform_unreachable (MrMembership *m, MrTime now, gboolean cut_off)
 {
-  if (m->self.member.cut_off == cut_off)
+  if (m->self.member.platform_unreachable == cut_off)
     return;
-  m->self.member.cut_off = cut_off;
+  m->self.member.platform_unreachable = cut_off;
   S_changed_self (m, now);
   S_ping_all (m, now);
 }
@@ -590,7 +591,7 @@
 mr_membership_list (const MrMembership *m)
 {
   MrHeartbeat all = { 0 };
-  mr_news_all (m, &all);
+  mr_updates_fill_all (m, &all);
   all.updates[all.update_count++] = m->self.member;
   MrMemberList *list = mr_member_list_new (all.updates, all.update_count);
   g_free (all.updates);
--- a/src/membership.h
+++ b/src/membership.h
@@ -19,10 +19,11 @@
   /* Rings over the members of the own failure domain, then rings over all.  Heartbeats
    * and news that cross into another domain are paid for; two rings over all are
    * enough that a domain which is cut off as a whole is found out by others. */
-  MR_RINGS_NEAR = 2,
-  MR_RINGS_FAR = 2,
-  MR_RINGS = MR_RINGS_NEAR + MR_RINGS_FAR,
-  MR_UPDATES_MAX = 96, /* news of members on one heartbeat; 70 bytes each, 15 compressed */
+  MR_DOMAIN_RINGS = 2,
+  MR_GLOBAL_RINGS = 2,
+  MR_RING_COUNT = MR_DOMAIN_RINGS + MR_GLOBAL_RINGS,
+  MR_HEARTBEAT_UPDATES_MAX =
+      96, /* news of members on one heartbeat; 70 bytes each, 15 compressed */
 };
 
 typedef enum
@@ -34,28 +35,28 @@
 /* What a ping asks its answer to carry beside news. */
 typedef enum
 {
-  MR_ASK_NOTHING,
+  MR_MEMBERS_REQUEST_NONE,
   /* Some members to go on from, by the connection that the ping came by; what a seed is
    * asked for. */
-  MR_ASK_SOME,
-  MR_ASK_ALL, /* every member */
-} MrHeartbeatAsk;
+  MR_MEMBERS_REQUEST_SAMPLE,
+  MR_MEMBERS_REQUEST_ALL, /* every member */
+} MrMembersRequest;
 
 typedef struct
 {
   MrHeartbeatKind kind;
-  MrHeartbeatAsk ask;  /* of a ping */
-  gboolean watch_only; /* a ping: the answer is to carry no news */
-  gboolean list;       /* the updates are every member that the sender knows */
-  guint64 number;
+  MrMembersRequest members_request; /* of a ping */
+  gboolean no_updates;              /* a ping: the answer is to carry no news */
+  gboolean is_full_list;            /* the updates are every member that the sender knows */
+  guint64 ping_id;
   /* News of one sender are numbered in the order in which it learned them.  The
    * updates are all its news for the receiver after the number @after up to @upto; a
    * @upto of 0: they are none of these. */
-  guint64 after;
-  guint64 upto;
-  guint64 taken;   /* of the receiver's news the sender has all up to this; 0: none */
-  guint64 digest;  /* of the sender's registry */
-  guint64 members; /* digest of the members it sees */
+  guint64 updates_after;
+  guint64 updates_upto;
+  guint64 updates_acked;   /* of the receiver's news the sender has all up to this; 0: none */
+  guint64 registry_digest; /* of the sender's registry */
+  guint64 members_digest;  /* digest of the members it sees */
   MrMember from;
   guint update_count;
   MrMember *updates;
@@ -70,7 +71,7 @@
   /* @to: at least ip and peer_port are set. */
   void (*send) (MrMembershipHost *host, const MrMember *to, const MrHeartbeat *heartbeat);
   /* @member is new, or something about it has changed. */
-  void (*changed) (MrMembershipHost *host, const MrMember *member);
+  void (*member_changed) (MrMembershipHost *host, const MrMember *member);
 };
 
 MrMembership *mr_membership_new (MrMembershipHost *host, const MrMember *self, guint32 seed);
@@ -79,7 +80,7 @@
 /* Where to join, and to look for members after a partition; replaces the last
  * list.  Own address and duplicates do no harm. */
 void mr_membership_set_seeds (MrMembership *membership, const MrMember *seeds, guint count);
-void mr_membership_set_digest (MrMembership *membership, guint64 digest);
+void mr_membership_set_registry_digest (MrMembership *membership, guint64 digest);
 
 void mr_membership_receive (MrMembership *membership, MrTime now, const MrHeartbeat *heartbeat);
 
@@ -90,7 +91,8 @@
 void mr_membership_set_state (MrMembership *membership, MrTime now, MrMemberState state);
 void mr_membership_set_busy (MrMembership *membership, MrTime now, gboolean busy);
 /* Told at once: others take over what this daemon did at the platform. */
-void mr_membership_set_cut_off (MrMembership *membership, MrTime now, gboolean cut_off);
+void
+mr_membership_set_platform_unreachable (MrMembership *membership, MrTime now, gboolean cut_off);
 /* In thousandths of a core. */
 void mr_membership_set_load (MrMembership *membership, MrTime now, guint32 load);
 
--- a/src/membership_links.c
+++ b/src/membership_links.c
@@ -27,7 +27,7 @@
 static gboolean
 S_is_near_ring (const MrMembership *m, guint ring)
 {
-  return m->near_rings && ring < MR_RINGS_NEAR;
+  return m->has_domain_rings && ring < MR_DOMAIN_RINGS;
 }
 
 /* On a ring over all domains a suspect is passed over at once, not only once it is
@@ -37,11 +37,11 @@
 static gboolean
 S_is_on_ring (const MrMembership *m, const Peer *peer, guint ring)
 {
-  if (!mr_peer_present (peer))
+  if (!mr_peer_is_present (peer))
     return FALSE;
   if (S_is_near_ring (m, ring))
-    return mr_peer_is_near (m, peer);
-  return ring < MR_RINGS_NEAR || peer->member.state != MR_MEMBER_SUSPECT;
+    return mr_peer_is_in_own_domain (m, peer);
+  return ring < MR_DOMAIN_RINGS || peer->member.state != MR_MEMBER_SUSPECT;
 }
 
 /* The member that follows us on @ring; NULL if there is no other. */
@@ -76,7 +76,7 @@
   gpointer item = NULL;
   g_hash_table_iter_init (&iter, m->peers);
   while (g_hash_table_iter_next (&iter, NULL, &item))
-    count += mr_peer_present (item) && mr_peer_is_near (m, item);
+    count += mr_peer_is_present (item) && mr_peer_is_in_own_domain (m, item);
   return count;
 }
 
@@ -87,8 +87,8 @@
     return;
   m->links_stale = FALSE;
   m->link_count = 0;
-  m->near_rings = S_count_near (m) >= NEAR_LEAST;
-  for (guint ring = 0; ring < MR_RINGS; ring++)
+  m->has_domain_rings = S_count_near (m) >= NEAR_LEAST;
+  for (guint ring = 0; ring < MR_RING_COUNT; ring++)
     {
       Peer *peer = S_successor (m, ring);
       gboolean known = !peer;
@@ -97,7 +97,7 @@
       if (known)
         continue;
       /* One ring over all carries news between domains; the last finds deaths. */
-      m->watch_only[m->link_count] = m->near_rings && ring == MR_RINGS - 1;
+      m->no_updates[m->link_count] = m->has_domain_rings && ring == MR_RING_COUNT - 1;
       m->links[m->link_count++] = peer;
     }
 }
@@ -176,8 +176,8 @@
   while (g_hash_table_iter_next (&iter, NULL, &item) && count < MR_NEIGHBOURS_MAX)
     {
       const Peer *peer = item;
-      gboolean known = peer->pinged_at == 0 || now - peer->pinged_at > PINGED_LATELY ||
-                       !mr_peer_is_near (m, peer) || !mr_peer_present (peer);
+      gboolean known = peer->pinged_us_at == 0 || now - peer->pinged_us_at > PINGED_LATELY ||
+                       !mr_peer_is_in_own_domain (m, peer) || !mr_peer_is_present (peer);
       for (guint i = 0; i < count; i++)
         known = known || neighbours[i] == &peer->member;
       if (!known)
@@ -194,9 +194,9 @@
   guint count = 0;
   mr_membership_refresh_links (m);
   for (guint i = 0; i < m->link_count; i++)
-    if (!m->near_rings || mr_peer_is_near (m, m->links[i]))
+    if (!m->has_domain_rings || mr_peer_is_in_own_domain (m, m->links[i]))
       neighbours[count++] = &m->links[i]->member;
-  if (!m->near_rings)
+  if (!m->has_domain_rings)
     return count;
   count = S_add_bridges (m, neighbours, count);
   return S_add_pingers (m, now, neighbours, count);
--- a/src/membership_news.c
+++ b/src/membership_updates.c
@@ -29,7 +29,7 @@
 }
 
 guint64
-mr_membership_digest (MrMembership *m)
+mr_membership_members_digest (MrMembership *m)
 {
   if (m->members_digest != 0)
     return m->members_digest;
@@ -38,7 +38,7 @@
   guint64 digest = S_fingerprint (&m->self.member);
   g_hash_table_iter_init (&iter, m->peers);
   while (g_hash_table_iter_next (&iter, NULL, &item))
-    if (mr_peer_present (item))
+    if (mr_peer_is_present (item))
       digest ^= S_fingerprint (&((Peer *) item)->member);
   m->members_digest = digest;
   return digest;
@@ -48,7 +48,7 @@
 static guint64
 S_settled (const MrMembership *m, MrTime now)
 {
-  guint64 settled = m->last_news;
+  guint64 settled = m->last_update_seq;
   GHashTableIter iter;
   gpointer item = NULL;
   g_hash_table_iter_init (&iter, m->peers);
@@ -56,53 +56,55 @@
     {
       const Peer *peer = item;
       if (now - peer->changed_at < LATELY)
-        settled = MIN (settled, peer->news - 1);
+        settled = MIN (settled, peer->update_seq - 1);
     }
   return settled;
 }
 
 void
-mr_news_reset (Peer *peer)
-{
-  peer->in_touch = FALSE;
-  peer->confirmed = FALSE;
-  peer->acked = 0;
-  peer->told = 0;
-  peer->told_at = 0;
-  peer->taken = 0;
+mr_updates_reset_link (Peer *peer)
+{
+  peer->link_established = FALSE;
+  peer->has_acked = FALSE;
+  peer->acked_seq = 0;
+  peer->sent_seq = 0;
+  peer->sent_at = 0;
+  peer->received_seq = 0;
 }
 
 void
-mr_news_heard (MrMembership *m, MrTime now, Peer *peer, const MrHeartbeat *heartbeat)
+mr_updates_on_heartbeat (MrMembership *m, MrTime now, Peer *peer, const MrHeartbeat *heartbeat)
 {
-  if (now - peer->heard_at > OUT_OF_TOUCH)
-    mr_news_reset (peer);
-  peer->heard_at = now;
-  if (!peer->in_touch)
+  if (now - peer->last_heartbeat_at > OUT_OF_TOUCH)
+    mr_updates_reset_link (peer);
+  peer->last_heartbeat_at = now;
+  if (!peer->link_established)
     {
       /* A member is told of all that it may lack, 20 kB in a fleet of 295, only if
        * its view differs; that of one that has asked for the list does not. */
-      peer->in_touch = TRUE;
-      peer->acked = heartbeat->members == mr_membership_digest (m) ? S_settled (m, now) : 0;
-      peer->told = peer->acked;
+      peer->link_established = TRUE;
+      peer->acked_seq =
+          heartbeat->members_digest == mr_membership_members_digest (m) ? S_settled (m, now) : 0;
+      peer->sent_seq = peer->acked_seq;
     }
   /* What comes after a gap is taken, but not acknowledged, so that its sender tells
    * anew what was lost. */
-  if (heartbeat->upto != 0 && (peer->taken == 0 || heartbeat->after <= peer->taken))
-    peer->taken = MAX (peer->taken, heartbeat->upto);
+  if (heartbeat->updates_upto != 0 &&
+      (peer->received_seq == 0 || heartbeat->updates_after <= peer->received_seq))
+    peer->received_seq = MAX (peer->received_seq, heartbeat->updates_upto);
   /* A number that is none of ours was meant for the process before. */
-  if (heartbeat->taken > peer->acked && heartbeat->taken <= m->last_news)
+  if (heartbeat->updates_acked > peer->acked_seq && heartbeat->updates_acked <= m->last_update_seq)
     {
-      peer->acked = heartbeat->taken;
-      peer->confirmed = TRUE;
+      peer->acked_seq = heartbeat->updates_acked;
+      peer->has_acked = TRUE;
     }
 }
 
 static guint64
 S_begin (MrTime now, const Peer *peer)
 {
-  gboolean under_way = peer->confirmed && now - peer->told_at < UNDER_WAY;
-  return under_way ? MAX (peer->told, peer->acked) : peer->acked;
+  gboolean under_way = peer->has_acked && now - peer->sent_at < UNDER_WAY;
+  return under_way ? MAX (peer->sent_seq, peer->acked_seq) : peer->acked_seq;
 }
 
 /* What others say of @peer is for @peer to refute, or it would be removed while it
@@ -110,20 +112,21 @@
 static gboolean
 S_is_accused (const Peer *peer)
 {
-  return peer->member.state == MR_MEMBER_SUSPECT || !mr_peer_present (peer);
+  return peer->member.state == MR_MEMBER_SUSPECT || !mr_peer_is_present (peer);
 }
 
 static gboolean
 S_is_for (const Peer *news, const Peer *peer, guint64 begin)
 {
-  return news->news > begin && news != peer && news->teller != g_str_hash (peer->member.name);
+  return news->update_seq > begin && news != peer &&
+         news->source_hash != g_str_hash (peer->member.name);
 }
 
 void
-mr_news_tell (MrMembership *m, MrTime now, Peer *peer, MrHeartbeat *heartbeat)
+mr_updates_fill (MrMembership *m, MrTime now, Peer *peer, MrHeartbeat *heartbeat)
 {
-  const Peer *picked[MR_UPDATES_MAX];
-  guint room = MR_UPDATES_MAX - 1; /* one is for what is said of the receiver */
+  const Peer *picked[MR_HEARTBEAT_UPDATES_MAX];
+  guint room = MR_HEARTBEAT_UPDATES_MAX - 1; /* one is for what is said of the receiver */
   guint count = 0;
   gboolean more = FALSE;
   gboolean contradicts = heartbeat->update_count > 0;
@@ -131,13 +134,13 @@
   GHashTableIter iter;
   gpointer item = NULL;
   g_hash_table_iter_init (&iter, m->peers);
-  while (peer->in_touch && g_hash_table_iter_next (&iter, NULL, &item))
+  while (peer->link_established && g_hash_table_iter_next (&iter, NULL, &item))
     {
       const Peer *news = item;
       if (!S_is_for (news, peer, begin))
         continue;
       guint place = count;
-      while (place > 0 && news->news < picked[place - 1]->news)
+      while (place > 0 && news->update_seq < picked[place - 1]->update_seq)
         place--;
       more = more || count == room;
       if (place == room)
@@ -150,20 +153,20 @@
     heartbeat->updates[heartbeat->update_count++] = picked[i]->member;
   if (!contradicts && S_is_accused (peer))
     heartbeat->updates[heartbeat->update_count++] = peer->member;
-  if (!peer->in_touch)
+  if (!peer->link_established)
     return;
-  heartbeat->after = begin;
-  heartbeat->upto = more ? picked[count - 1]->news : m->last_news;
-  peer->told = heartbeat->upto;
-  peer->told_at = now;
+  heartbeat->updates_after = begin;
+  heartbeat->updates_upto = more ? picked[count - 1]->update_seq : m->last_update_seq;
+  peer->sent_seq = heartbeat->updates_upto;
+  peer->sent_at = now;
 }
 
 gboolean
-mr_news_urgent (const MrMembership *m, MrTime now, const Peer *peer, MrTime *next)
+mr_updates_urgent_due (const MrMembership *m, MrTime now, const Peer *peer, MrTime *next)
 {
-  if (!peer->in_touch || S_begin (now, peer) >= m->urgent)
+  if (!peer->link_established || S_begin (now, peer) >= m->last_urgent_seq)
     return FALSE;
-  MrTime due = peer->told_at + NEWS_GAP;
+  MrTime due = peer->sent_at + NEWS_GAP;
   *next = MIN (*next, MAX (due, now));
   return now >= due;
 }
@@ -180,7 +183,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &item))
     {
       const Peer *peer = item;
-      if (!mr_peer_present (peer) || !g_str_equal (peer->member.domain, asker->domain) ||
+      if (!mr_peer_is_present (peer) || !g_str_equal (peer->member.domain, asker->domain) ||
           g_str_equal (peer->member.name, asker->name))
         continue;
       guint place = (guint) g_rand_int_range (m->random, 0, ++seen);
@@ -213,7 +216,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &item))
     {
       const Peer *peer = item;
-      if (!mr_peer_present (peer))
+      if (!mr_peer_is_present (peer))
         continue;
       guint place = count;
       while (place > 0 && S_is_stronger (&peer->member, &first[place - 1]))
@@ -228,18 +231,18 @@
 }
 
 void
-mr_news_some (const MrMembership *m, const MrMember *asker, MrHeartbeat *heartbeat)
+mr_updates_fill_sample (const MrMembership *m, const MrMember *asker, MrHeartbeat *heartbeat)
 {
   S_add_near (m, asker, heartbeat->update_count + SOME_NEAR, heartbeat);
   S_add_strongest (m, SOME_STRONG, heartbeat);
 }
 
 void
-mr_news_all (const MrMembership *m, MrHeartbeat *heartbeat)
+mr_updates_fill_all (const MrMembership *m, MrHeartbeat *heartbeat)
 {
   heartbeat->updates = g_new (MrMember, g_hash_table_size (m->peers) + 1);
-  heartbeat->list = TRUE;
-  heartbeat->upto = m->last_news;
+  heartbeat->is_full_list = TRUE;
+  heartbeat->updates_upto = m->last_update_seq;
   GHashTableIter iter;
   gpointer item = NULL;
   g_hash_table_iter_init (&iter, m->peers);
--- a/src/metrics.c
+++ b/src/metrics.c
@@ -111,7 +111,7 @@
       sum += histogram->buckets[i];
       g_string_append_printf (
           out, "merlinring_%s_seconds_bucket{%s,le=\"%.6f\"} %" G_GUINT64_FORMAT "\n", name, label,
-          (double) mr_histogram_upper (i) / 1e6, sum);
+          (double) mr_histogram_bucket_max (i) / 1e6, sum);
     }
   g_string_append_printf (out,
                           "merlinring_%s_seconds_bucket{%s,le=\"+Inf\"} %" G_GUINT64_FORMAT "\n"
--- a/src/operator_pages.c
+++ b/src/operator_pages.c
@@ -18,9 +18,9 @@
           "%s{\"service\":\"%s\",\"document_version\":%" G_GUINT64_FORMAT
           ",\"accepted_version\":%" G_GUINT64_FORMAT
           ",\"snapshot\":\"%s\",\"generation\":%" G_GUINT64_FORMAT ",\"shards\":%u,\"targets\":%u}",
-          first ? "" : ",", service->document.service, service->source, service->version,
-          service->map ? service->map->snapshot : "", service->map ? service->map->generation : 0,
-          service->map ? service->map->shard_count : 0,
+          first ? "" : ",", service->document.service, service->document_version,
+          service->accepted_version, service->map ? service->map->snapshot : "",
+          service->map ? service->map->generation : 0, service->map ? service->map->shard_count : 0,
           service->map ? service->map->target_count : 0);
       first = FALSE;
     }
@@ -31,7 +31,7 @@
 {
   GHashTableIter iter;
   gpointer domain = NULL;
-  g_hash_table_iter_init (&iter, view->evacuated);
+  g_hash_table_iter_init (&iter, view->evacuated_domains);
   for (gboolean first = TRUE; g_hash_table_iter_next (&iter, &domain, NULL); first = FALSE)
     g_string_append_printf (out, "%s\"%s\"", first ? "" : ",", (const char *) domain);
 }
@@ -152,7 +152,7 @@
 {
   GString *out = g_string_new (NULL);
   mr_metrics_write (out);
-  mr_traffic_write (out);
+  mr_traffic_write_metrics (out);
   g_string_append (out, "# HELP merlinring_search_seconds time from request to answer\n"
                         "# TYPE merlinring_search_seconds histogram\n");
   for (int cls = 0; cls < MR_CLASS_COUNT; cls++)
--- a/src/platform_codec.c
+++ b/src/platform_codec.c
@@ -113,4 +113,4 @@
   };
 }
 
-const MrPlatformCodec mr_platform_codec = { .write = S_write, .read = S_read };
+const MrPlatformCodec mr_platform_codec = { .encode = S_write, .decode = S_read };
--- a/src/platform_codec.h
+++ b/src/platform_codec.h
@@ -18,9 +18,9 @@
 typedef struct
 {
   /* Fills @call, whose path and body are new. */
-  void (*write) (const MrPlatformRequest *request, MrPlatformCall *call);
+  void (*encode) (const MrPlatformRequest *request, MrPlatformCall *call);
   /* Reads a whole answer into @result, whose status it sets. */
-  void (*read) (MrPlatformResult *result, int http_status, MrText body);
+  void (*decode) (MrPlatformResult *result, int http_status, MrText body);
 } MrPlatformCodec;
 
 /* The product's own form, docs/PLATFORM-API.md. */
--- a/src/platform_task.c
+++ b/src/platform_task.c
@@ -47,7 +47,7 @@
   MrPlatformResult *result =
       mr_platform_result_new (request, (int) S_lost_status (request, answer));
   if (answer && answer->outcome == MR_HTTP_OK)
-    task->codec->read (result, answer->status, answer->body);
+    task->codec->decode (result, answer->status, answer->body);
   mr_mailbox_post (task->results, &result->base);
 }
 
@@ -71,7 +71,7 @@
 S_start (MrPlatformTask *task, MrPlatformRequest *request, guint lane)
 {
   MrPlatformCall call = { 0 };
-  task->codec->write (request, &call);
+  task->codec->encode (request, &call);
   g_autofree char *path = call.path;
   g_autoptr (GString) body = call.body;
   Exchange *exchange = g_new0 (Exchange, 1);
--- a/src/prober.c
+++ b/src/prober.c
@@ -177,7 +177,7 @@
     .target = g_strdup (target->id),
     .ip = g_strdup (target->ip),
     .port = target->port,
-    .after_break = mr_health_after_break (&target->health),
+    .after_break = mr_health_suspected_by_connection_error (&target->health),
   };
   probe->link.data = probe;
   probe->timer.owner = probe;
@@ -186,7 +186,7 @@
 }
 
 void
-mr_prober_forget (MrProber *prober, const char *target)
+mr_prober_cancel (MrProber *prober, const char *target)
 {
   GList *next = NULL;
   for (GList *link = prober->probes.head; link; link = next)
@@ -212,7 +212,7 @@
       else
         S_report (probe, probe->state == PROBE_STANDING);
     }
-  return mr_timers_next (prober->timers);
+  return mr_timers_next_due (prober->timers);
 }
 
 const MrProberCounts *
--- a/src/prober.h
+++ b/src/prober.h
@@ -36,7 +36,7 @@
 /* The result is reported later, never from within. */
 void mr_prober_start (MrProber *prober, MrTime now, const MrTargetState *target);
 /* Ends the probes of @target without a result: another process may have its id by then. */
-void mr_prober_forget (MrProber *prober, const char *target);
+void mr_prober_cancel (MrProber *prober, const char *target);
 
 /* Reports what is due; returns when to come back. */
 MrTime mr_prober_tick (MrProber *prober, MrTime now);
--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -15,7 +15,8 @@
 mr_quarantine_new (void)
 {
   MrQuarantine *q = g_new0 (MrQuarantine, 1);
-  q->entries = g_hash_table_new_full (mr_fingerprint_hash, mr_fingerprint_same, NULL, g_free);
+  q->entries =
+      g_hash_table_new_full (mr_fingerprint_key_hash, mr_fingerprint_key_equal, NULL, g_free);
   return q;
 }
 
@@ -33,8 +34,8 @@
 static bool
 S_goes_before (const Entry *a, const Entry *b)
 {
-  bool a_holds = mr_evidence_quarantines (&a->evidence);
-  bool b_holds = mr_evidence_quarantines (&b->evidence);
+  bool a_holds = mr_evidence_is_quarantined (&a->evidence);
+  bool b_holds = mr_evidence_is_quarantined (&b->evidence);
   if (a_holds != b_holds)
     return a_holds;
   if (a->evidence.at != b->evidence.at)
@@ -58,7 +59,7 @@
 }
 
 bool
-mr_quarantine_offer (MrQuarantine *q,
+mr_quarantine_merge (MrQuarantine *q,
                      MrFingerprint fingerprint,
                      const MrEvidence *evidence,
                      guint32 unix_time,
@@ -69,14 +70,14 @@
     *left_out = (MrFingerprint){ 0 };
   if (known)
     {
-      known->evidence = mr_evidence_join (&known->evidence, evidence);
+      known->evidence = mr_evidence_merge (&known->evidence, evidence);
       return true;
     }
-  if (!mr_evidence_is_of_use (evidence, unix_time))
+  if (!mr_evidence_is_relevant (evidence, unix_time))
     return false;
   Entry *entry = g_new (Entry, 1);
   *entry = (Entry){ .fingerprint = fingerprint, .evidence = *evidence };
-  if (g_hash_table_size (q->entries) >= MR_QUARANTINE_MOST)
+  if (g_hash_table_size (q->entries) >= MR_QUARANTINE_MAX_CONTENTS)
     {
       const Entry *least = S_least (q);
       if (S_goes_before (least, entry))
@@ -106,7 +107,7 @@
 }
 
 bool
-mr_quarantine_expire (MrQuarantine *q, guint32 unix_time, MrFingerprint *out)
+mr_quarantine_remove_expired (MrQuarantine *q, guint32 unix_time, MrFingerprint *out)
 {
   GHashTableIter iter;
   gpointer item = NULL;
@@ -114,7 +115,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &item))
     {
       const Entry *entry = item;
-      if (mr_evidence_is_of_use (&entry->evidence, unix_time))
+      if (mr_evidence_is_relevant (&entry->evidence, unix_time))
         continue;
       *out = entry->fingerprint;
       g_hash_table_iter_remove (&iter);
--- a/src/quarantine.h
+++ b/src/quarantine.h
@@ -14,7 +14,7 @@
 
 enum
 {
-  MR_QUARANTINE_MOST =
+  MR_QUARANTINE_MAX_CONTENTS =
       1000, /* contents known at once: 100 kB, a message of 50 kB to one that starts */
 };
 
@@ -23,7 +23,7 @@
 
 /* Joins @evidence to what is known if it is of use; true if it stands here then.  Where there
  * are too many the least of all goes out, @left_out (which may be NULL). */
-bool mr_quarantine_offer (MrQuarantine *quarantine,
+bool mr_quarantine_merge (MrQuarantine *quarantine,
                           MrFingerprint fingerprint,
                           const MrEvidence *evidence,
                           guint32 unix_time,
@@ -34,7 +34,7 @@
 MrEvidence mr_quarantine_get (const MrQuarantine *quarantine, MrFingerprint fingerprint);
 
 /* Takes out one that is of no use any more; false if there is none. */
-bool mr_quarantine_expire (MrQuarantine *quarantine, guint32 unix_time, MrFingerprint *out);
+bool mr_quarantine_remove_expired (MrQuarantine *quarantine, guint32 unix_time, MrFingerprint *out);
 
 void mr_quarantine_foreach (const MrQuarantine *quarantine,
                             void (*visit) (MrFingerprint fingerprint,
--- a/src/answered.c
+++ b/src/recent_answers.c
@@ -1,4 +1,4 @@
-#include "answered.h"
+#include "recent_answers.h"
 
 enum
 {
@@ -18,19 +18,19 @@
   MrTime at;
 } Entry;
 
-struct _MrAnswered
+struct _MrRecentAnswers
 {
   Entry rows[ROWS][PLACES];
 };
 
-MrAnswered *
-mr_answered_new (void)
+MrRecentAnswers *
+mr_recent_answers_new (void)
 {
-  return g_new0 (MrAnswered, 1);
+  return g_new0 (MrRecentAnswers, 1);
 }
 
 void
-mr_answered_free (MrAnswered *answered)
+mr_recent_answers_free (MrRecentAnswers *answered)
 {
   g_free (answered);
 }
@@ -42,7 +42,7 @@
 }
 
 void
-mr_answered_note (MrAnswered *answered, MrTime now, MrFingerprint fingerprint)
+mr_recent_answers_record (MrRecentAnswers *answered, MrTime now, MrFingerprint fingerprint)
 {
   Entry *row = answered->rows[S_row (fingerprint)];
   Entry *place = &row[0];
@@ -60,7 +60,7 @@
 }
 
 bool
-mr_answered_lately (const MrAnswered *answered, MrTime now, MrFingerprint fingerprint)
+mr_recent_answers_contain (const MrRecentAnswers *answered, MrTime now, MrFingerprint fingerprint)
 {
   const Entry *row = answered->rows[S_row (fingerprint)];
   for (guint i = 0; i < PLACES; i++)
--- a/src/answered.h
+++ b/src/recent_answers.h
@@ -9,11 +9,12 @@
 #include "clock.h"
 #include "fingerprint.h"
 
-typedef struct _MrAnswered MrAnswered;
+typedef struct _MrRecentAnswers MrRecentAnswers;
 
-MrAnswered *mr_answered_new (void);
-void mr_answered_free (MrAnswered *answered);
+MrRecentAnswers *mr_recent_answers_new (void);
+void mr_recent_answers_free (MrRecentAnswers *answered);
 
-void mr_answered_note (MrAnswered *answered, MrTime now, MrFingerprint fingerprint);
+void mr_recent_answers_record (MrRecentAnswers *answered, MrTime now, MrFingerprint fingerprint);
 /* FALSE also for one that was answered and that another has taken the place of. */
-bool mr_answered_lately (const MrAnswered *answered, MrTime now, MrFingerprint fingerprint);
+bool
+mr_recent_answers_contain (const MrRecentAnswers *answered, MrTime now, MrFingerprint fingerprint);
--- a/src/registry.c
+++ b/src/registry.c
@@ -75,7 +75,8 @@
 static gboolean
 S_is_of_earlier_process (const MrObject *known, MrText body, guint64 started)
 {
-  return known && body.len > 0 && started < known->started && MR_SAFEGUARD (MR_GUARD_INCARNATION);
+  return known && body.len > 0 && started < known->latest_start &&
+         MR_SAFEGUARD (MR_GUARD_INCARNATION);
 }
 
 static MrText
@@ -84,7 +85,7 @@
   return started == 0 ? (MrText){ 0 } : mr_text_of (known->body);
 }
 
-MrOffer
+MrOfferResult
 mr_registry_offer (
     MrRegistry *registry, MrObjectKind kind, MrText name, guint64 version, MrText body)
 {
@@ -104,11 +105,11 @@
       return MR_OFFER_OLD;
     }
   guint64 started = kind == MR_OBJECT_TARGET ? mr_target_record_started (body) : 0;
-  MrOffer offer = MR_OFFER_NEW;
+  MrOfferResult offer = MR_OFFER_NEW;
   if (S_is_of_earlier_process (object, body, started))
     {
-      offer = MR_OFFER_KEPT;
-      version |= MR_VERSION_KEPT;
+      offer = MR_OFFER_BODY_REJECTED;
+      version |= MR_VERSION_BODY_REJECTED;
       body = S_body_in_place (object, started);
     }
   if (object)
@@ -120,8 +121,8 @@
     .name = mr_text_dup (name),
     .version = version,
     .body = g_string_new_len (body.data, (gssize) body.len),
-    .started = MAX (started, object ? object->started : 0),
-    .place = XXH64 (key, strlen (key), 0),
+    .latest_start = MAX (started, object ? object->latest_start : 0),
+    .key_hash = XXH64 (key, strlen (key), 0),
   };
   g_hash_table_replace (registry->objects[kind], key, replacement);
   return offer;
@@ -168,7 +169,7 @@
 }
 
 static void
-S_add_to_parts (GHashTable *objects, MrRange range, guint64 *digests, guint *counts)
+S_add_to_parts (GHashTable *objects, MrHashRange range, guint64 *digests, guint *counts)
 {
   GHashTableIter iter;
   gpointer key = NULL;
@@ -177,31 +178,31 @@
   while (g_hash_table_iter_next (&iter, &key, &item))
     {
       const MrObject *object = item;
-      if (!mr_range_has (range, object->place))
+      if (!mr_hash_range_contains (range, object->key_hash))
         continue;
-      guint part = (object->place << range.bits) >> (64 - MR_RANGE_STEP);
+      guint part = (object->key_hash << range.bits) >> (64 - MR_HASH_RANGE_PART_BITS);
       digests[part] ^= S_fingerprint (key, object->version);
       counts[part]++;
     }
 }
 
 void
-mr_registry_ranges (const MrRegistry *registry,
-                    MrRange range,
-                    guint64 digests[MR_RANGE_PARTS],
-                    guint counts[MR_RANGE_PARTS])
+mr_registry_range_digests (const MrRegistry *registry,
+                           MrHashRange range,
+                           guint64 digests[MR_HASH_RANGE_PARTS],
+                           guint counts[MR_HASH_RANGE_PARTS])
 {
-  memset (digests, 0, MR_RANGE_PARTS * sizeof *digests);
-  memset (counts, 0, MR_RANGE_PARTS * sizeof *counts);
+  memset (digests, 0, MR_HASH_RANGE_PARTS * sizeof *digests);
+  memset (counts, 0, MR_HASH_RANGE_PARTS * sizeof *counts);
   for (int kind = 0; kind <= MR_OBJECT_KIND_LAST; kind++)
     S_add_to_parts (registry->objects[kind], range, digests, counts);
 }
 
 void
-mr_registry_foreach_of (const MrRegistry *registry,
-                        MrObjectKind kind,
-                        void (*visit) (const MrObject *object, void *user),
-                        void *user)
+mr_registry_foreach_of_kind (const MrRegistry *registry,
+                             MrObjectKind kind,
+                             void (*visit) (const MrObject *object, void *user),
+                             void *user)
 {
   GHashTableIter iter;
   gpointer object = NULL;
@@ -216,5 +217,5 @@
                      void *user)
 {
   for (int kind = 0; kind <= MR_OBJECT_KIND_LAST; kind++)
-    mr_registry_foreach_of (registry, kind, visit, user);
+    mr_registry_foreach_of_kind (registry, kind, visit, user);
 }
--- a/src/registry.h
+++ b/src/registry.h
@@ -16,11 +16,11 @@
 {
   /* As at that version, but its body was passed over: it came from a process that
    * has been replaced. */
-  MR_VERSION_KEPT = 1,
+  MR_VERSION_BODY_REJECTED = 1,
   /* Removed.  A removal has no version that is sure to be its own: its event may
    * carry that of the object's last change, which it follows. */
   MR_VERSION_REMOVED = 2,
-  MR_VERSIONS_APART = 4,
+  MR_VERSION_STRIDE = 4,
 };
 
 typedef enum
@@ -52,8 +52,8 @@
   char *name;
   guint64 version;
   GString *body;
-  guint64 started; /* of a target: newest start ever named, Unix ms; 0: none */
-  guint64 place;   /* hash of kind and name: which ranges it is in */
+  guint64 latest_start; /* of a target: newest start ever named, Unix ms; 0: none */
+  guint64 key_hash;     /* hash of kind and name: which ranges it is in */
 } MrObject;
 
 /* A part of the places that a hash may give an object: those that begin with the
@@ -62,27 +62,27 @@
 {
   guint64 start;
   guint bits;
-} MrRange;
+} MrHashRange;
 
 enum
 {
-  MR_RANGE_PARTS = 32, /* a range divides into this many, by the next 5 bits */
-  MR_RANGE_STEP = 5,
-  MR_RANGE_BITS_MAX = 60, /* a range of more bits is not divided */
+  MR_HASH_RANGE_PARTS = 32, /* a range divides into this many, by the next 5 bits */
+  MR_HASH_RANGE_PART_BITS = 5,
+  MR_HASH_RANGE_MAX_BITS = 60, /* a range of more bits is not divided */
 };
 
 typedef enum
 {
-  MR_OFFER_NEW,  /* taken */
-  MR_OFFER_SAME, /* known already */
-  MR_OFFER_OLD,  /* older than what is known: not taken */
-  MR_OFFER_KEPT, /* the version is taken, the body not: an earlier process wrote it */
-} MrOffer;
+  MR_OFFER_NEW,           /* taken */
+  MR_OFFER_SAME,          /* known already */
+  MR_OFFER_OLD,           /* older than what is known: not taken */
+  MR_OFFER_BODY_REJECTED, /* the version is taken, the body not: an earlier process wrote it */
+} MrOfferResult;
 
 MrRegistry *mr_registry_new (void);
 void mr_registry_free (MrRegistry *registry);
 
-MrOffer mr_registry_offer (
+MrOfferResult mr_registry_offer (
     MrRegistry *registry, MrObjectKind kind, MrText name, guint64 version, MrText body);
 
 /* Forgets the object, as if it had never been offered. */
@@ -101,31 +101,31 @@
 guint mr_registry_count (const MrRegistry *registry);
 
 /* Digests of the parts of @range, and how many objects are in each. */
-void mr_registry_ranges (const MrRegistry *registry,
-                         MrRange range,
-                         guint64 digests[MR_RANGE_PARTS],
-                         guint counts[MR_RANGE_PARTS]);
+void mr_registry_range_digests (const MrRegistry *registry,
+                                MrHashRange range,
+                                guint64 digests[MR_HASH_RANGE_PARTS],
+                                guint counts[MR_HASH_RANGE_PARTS]);
 
 static inline bool
-mr_range_has (MrRange range, guint64 place)
+mr_hash_range_contains (MrHashRange range, guint64 place)
 {
   return range.bits == 0 || (place ^ range.start) >> (64 - range.bits) == 0;
 }
 
 /* Part @index of @range. */
-static inline MrRange
-mr_range_part (MrRange range, guint index)
+static inline MrHashRange
+mr_hash_range_part (MrHashRange range, guint index)
 {
-  guint bits = range.bits + MR_RANGE_STEP;
+  guint bits = range.bits + MR_HASH_RANGE_PART_BITS;
   guint64 kept = range.bits == 0 ? 0 : range.start >> (64 - range.bits) << (64 - range.bits);
-  return (MrRange){ .start = kept | (guint64) index << (64 - bits), .bits = bits };
+  return (MrHashRange){ .start = kept | (guint64) index << (64 - bits), .bits = bits };
 }
 
 /* Objects of @kind only. */
-void mr_registry_foreach_of (const MrRegistry *registry,
-                             MrObjectKind kind,
-                             void (*visit) (const MrObject *object, void *user),
-                             void *user);
+void mr_registry_foreach_of_kind (const MrRegistry *registry,
+                                  MrObjectKind kind,
+                                  void (*visit) (const MrObject *object, void *user),
+                                  void *user);
 
 void mr_registry_foreach (const MrRegistry *registry,
                           void (*visit) (const MrObject *object, void *user),
--- a/src/relay.c
+++ b/src/relay.c
@@ -42,14 +42,14 @@
   return names[reason];
 }
 
-static Pool *
+static BudgetPool *
 S_pool (MrRelay *r, const char *name)
 {
-  Pool *pool = g_hash_table_lookup (r->pools, name);
+  BudgetPool *pool = g_hash_table_lookup (r->pools, name);
   if (pool)
     return pool;
-  pool = g_new0 (Pool, 1);
-  pool->terms = r->terms;
+  pool = g_new0 (BudgetPool, 1);
+  pool->terms = r->budget_config;
   pool->hedge_quantile = r->policy->hedge_quantile;
   g_hash_table_insert (r->pools, g_strdup (name), pool);
   return pool;
@@ -58,53 +58,54 @@
 static void
 S_service_free (gpointer data)
 {
-  Service *service = data;
+  TargetGroup *service = data;
   g_ptr_array_unref (service->targets);
   g_free (service->name);
   g_free (service);
 }
 
 MrRelay *
-mr_relay_new (MrRelayHost *host, const MrRelayInfo *info)
+mr_relay_new (MrRelayHost *host, const MrRelayOptions *info)
 {
   MrRelay *r = g_new0 (MrRelay, 1);
   r->host = host;
   r->policy = info->policy;
   r->domain = g_strdup (info->domain);
   r->regions = info->regions;
-  r->terms = info->budget;
-  r->cold = info->cold;
+  r->budget_config = info->budget;
+  r->cold_limit = info->cold_limit;
   r->random = g_rand_new_with_seed (info->seed);
   r->pools = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  r->services = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, S_service_free);
-  r->kinds = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  r->groups = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, S_service_free);
+  r->route_stats = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   r->splits = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, mr_relay_split_free);
   r->targets = g_hash_table_new (g_str_hash, g_str_equal);
   r->calls = g_hash_table_new (g_int64_hash, g_int64_equal);
-  r->works = g_hash_table_new (NULL, NULL);
-  r->retired = g_ptr_array_new_with_free_func ((GDestroyNotify) mr_target_state_free);
-  r->contents = g_hash_table_new_full (mr_fingerprint_hash, mr_fingerprint_same, NULL, g_free);
-  r->answered = mr_answered_new ();
-  r->doubts = g_ptr_array_new_with_free_func (g_free);
+  r->requests = g_hash_table_new (NULL, NULL);
+  r->removed_targets = g_ptr_array_new_with_free_func ((GDestroyNotify) mr_target_state_free);
+  r->suspect_contents =
+      g_hash_table_new_full (mr_fingerprint_key_hash, mr_fingerprint_key_equal, NULL, g_free);
+  r->recent_answers = mr_recent_answers_new ();
+  r->crash_checks = g_ptr_array_new_with_free_func (g_free);
   r->unix_offset = info->unix_offset;
   r->timers = mr_timers_new ();
   return r;
 }
 
 void
-mr_relay_work_free (MrRelay *r, MrRelayWork *work)
+mr_active_request_free (MrRelay *r, MrActiveRequest *work)
 {
   mr_timers_set (r->timers, &work->timer, MR_NEVER);
   for (guint i = 0; i < work->part_count; i++)
     {
       if (work->answers[i])
         r->host->free_answer (work->answers[i]);
-      if (work->jobs[i].failure)
-        r->host->free_answer (work->jobs[i].failure);
+      if (work->parts[i].error_answer)
+        r->host->free_answer (work->parts[i].error_answer);
     }
   mr_configuration_unref (work->configuration);
   g_array_unref (work->sends);
-  g_free (work->jobs);
+  g_free (work->parts);
   g_free (work->answers);
   g_free (work);
 }
@@ -116,27 +117,27 @@
     return;
   GHashTableIter iter;
   gpointer item = NULL;
-  g_hash_table_iter_init (&iter, r->works);
+  g_hash_table_iter_init (&iter, r->requests);
   while (g_hash_table_iter_next (&iter, &item, NULL))
-    mr_relay_work_free (r, item);
+    mr_active_request_free (r, item);
   g_hash_table_iter_init (&iter, r->calls);
   while (g_hash_table_iter_next (&iter, NULL, &item))
     g_free (item);
   g_hash_table_iter_init (&iter, r->targets);
   while (g_hash_table_iter_next (&iter, NULL, &item))
     mr_target_state_free (item);
-  g_hash_table_unref (r->works);
+  g_hash_table_unref (r->requests);
   g_hash_table_unref (r->calls);
   g_hash_table_unref (r->targets);
   g_hash_table_unref (r->splits);
-  g_hash_table_unref (r->kinds);
-  g_hash_table_unref (r->services);
+  g_hash_table_unref (r->route_stats);
+  g_hash_table_unref (r->groups);
   g_hash_table_unref (r->pools);
-  g_ptr_array_unref (r->retired);
+  g_ptr_array_unref (r->removed_targets);
   g_clear_pointer (&r->evacuated, g_hash_table_unref);
-  g_ptr_array_unref (r->doubts);
-  g_hash_table_unref (r->contents);
-  mr_answered_free (r->answered);
+  g_ptr_array_unref (r->crash_checks);
+  g_hash_table_unref (r->suspect_contents);
+  mr_recent_answers_free (r->recent_answers);
   mr_timers_free (r->timers);
   g_rand_free (r->random);
   g_free (r->domain);
@@ -149,86 +150,86 @@
   GHashTableIter iter;
   gpointer pool = NULL;
   r->shares = *shares;
-  r->terms.share = shares->allowance;
+  r->budget_config.share = shares->allowance;
   g_hash_table_iter_init (&iter, r->pools);
   while (g_hash_table_iter_next (&iter, NULL, &pool))
-    ((Pool *) pool)->terms.share = shares->allowance;
+    ((BudgetPool *) pool)->terms.share = shares->allowance;
 }
 
-static Service *
+static TargetGroup *
 S_add_service (MrRelay *r, const char *name, const char *pool)
 {
-  Service *service = g_new0 (Service, 1);
+  TargetGroup *service = g_new0 (TargetGroup, 1);
   service->name = g_strdup (name);
   service->pool = S_pool (r, pool);
   service->targets = g_ptr_array_new ();
-  service->capped_share = NOT_CAPPED;
-  g_queue_init (&service->waiting);
-  g_hash_table_insert (r->services, service->name, service);
+  service->limits_connection_share = LIMITS_UNSET;
+  g_queue_init (&service->queue);
+  g_hash_table_insert (r->groups, service->name, service);
   return service;
 }
 
-Service *
-mr_relay_service (MrRelay *r, const char *name)
+TargetGroup *
+mr_relay_get_group (MrRelay *r, const char *name)
 {
-  Service *service = g_hash_table_lookup (r->services, name);
+  TargetGroup *service = g_hash_table_lookup (r->groups, name);
   return service ? service : S_add_service (r, name, name);
 }
 
 void
-mr_relay_add_set (MrRelay *r, const char *set, const char *pool)
+mr_relay_add_group (MrRelay *r, const char *set, const char *pool)
 {
-  if (!g_hash_table_contains (r->services, set))
+  if (!g_hash_table_contains (r->groups, set))
     S_add_service (r, set, pool);
 }
 
 void
-mr_relay_remove_set (MrRelay *r, const char *set)
+mr_relay_remove_group (MrRelay *r, const char *set)
 {
-  Service *service = g_hash_table_lookup (r->services, set);
+  TargetGroup *service = g_hash_table_lookup (r->groups, set);
   if (!service)
     return;
   for (guint i = 0; i < service->targets->len; i++)
     g_ptr_array_remove_fast (((MrTargetState *) g_ptr_array_index (service->targets, i))->sets,
                              service);
-  g_hash_table_remove (r->services, set);
+  g_hash_table_remove (r->groups, set);
 }
 
 void
-mr_relay_set_pool (MrRelay *r, const char *name, double ratio, double hedge_quantile)
+mr_relay_configure_pool (MrRelay *r, const char *name, double ratio, double hedge_quantile)
 {
-  Pool *pool = S_pool (r, name);
+  BudgetPool *pool = S_pool (r, name);
   pool->terms.ratio = ratio;
   pool->hedge_quantile = hedge_quantile;
 }
 
 guint
-mr_relay_waiting (const MrRelay *r, const char *name, guint rank)
+mr_relay_queued_parts (const MrRelay *r, const char *name, guint rank)
 {
-  const Pool *pool = g_hash_table_lookup (r->pools, name);
+  const BudgetPool *pool = g_hash_table_lookup (r->pools, name);
   guint sum = 0;
-  for (guint i = 0; pool && i <= MIN (rank, MR_RANKS - 1U); i++)
-    sum += pool->waiting[i];
+  for (guint i = 0; pool && i <= MIN (rank, MR_PRIORITIES - 1U); i++)
+    sum += pool->queued[i];
   return sum;
 }
 
 double
-mr_relay_mean (const MrRelay *r, const char *name)
+mr_relay_mean_latency (const MrRelay *r, const char *name)
 {
-  const Kind *kind = g_hash_table_lookup (r->kinds, name);
+  const RouteStats *kind = g_hash_table_lookup (r->route_stats, name);
   return kind ? kind->mean : 0;
 }
 
 void
-mr_relay_note_finish (MrRelay *r, MrTime took)
+mr_relay_record_response_overhead (MrRelay *r, MrTime took)
 {
-  mr_finish_time_note (&r->finish, took);
+  mr_response_overhead_add (&r->response_overhead, took);
 }
 
 MrTime
-mr_relay_finish_reserve (const MrRelay *r)
+mr_relay_response_overhead (const MrRelay *r)
 {
-  return mr_finish_time_reserve (&r->finish);
+  return mr_response_overhead_estimate (&r->response_overhead);
 }
 
 gboolean
@@ -237,13 +238,13 @@
   const Call *call = g_hash_table_lookup (r->calls, &id);
   if (!call)
     return FALSE;
-  const Job *job = call->job;
+  const RequestPart *job = call->part;
   *out = (MrRelayCall){ .id = id, .target = call->target };
   if (job)
     {
-      out->request = job->work->request;
-      out->part = job->part;
-      out->repeatable = job->work->route->repeatable;
+      out->host_request = job->request->host_request;
+      out->part_index = job->index;
+      out->idempotent = job->request->route->idempotent;
     }
   return TRUE;
 }
@@ -255,7 +256,7 @@
 }
 
 guint
-mr_relay_open (const MrRelay *r)
+mr_relay_request_count (const MrRelay *r)
 {
-  return g_hash_table_size (r->works);
+  return g_hash_table_size (r->requests);
 }
--- a/src/relay_admit.c
+++ b/src/relay_admit.c
@@ -35,22 +35,22 @@
   g_free (split);
 }
 
-static Kind *
-S_kind (MrRelay *r, const MrRoute *route, const Pool *pool)
+static RouteStats *
+S_kind (MrRelay *r, const MrRoute *route, const BudgetPool *pool)
 {
-  Kind *kind = g_hash_table_lookup (r->kinds, route->name);
+  RouteStats *kind = g_hash_table_lookup (r->route_stats, route->name);
   if (!kind)
     {
-      kind = g_new0 (Kind, 1);
+      kind = g_new0 (RouteStats, 1);
       kind->policy = r->policy;
-      kind->mean = r->policy->mean_first_share * (double) route->aim;
-      g_hash_table_insert (r->kinds, g_strdup (route->name), kind);
+      kind->mean = r->policy->initial_mean_fraction * (double) route->latency_goal;
+      g_hash_table_insert (r->route_stats, g_strdup (route->name), kind);
     }
-  if (kind->aim == route->aim && kind->hedge_quantile == pool->hedge_quantile)
+  if (kind->latency_goal == route->latency_goal && kind->hedge_quantile == pool->hedge_quantile)
     return kind;
-  kind->aim = route->aim;
+  kind->latency_goal = route->latency_goal;
   kind->hedge_quantile = pool->hedge_quantile;
-  mr_relay_measure (kind);
+  mr_relay_update_stats (kind);
   return kind;
 }
 
@@ -59,25 +59,25 @@
 {
   Split *split = g_hash_table_lookup (r->splits, route->name);
   guint64 version = mr_configuration_version (configuration);
-  if (!split || split->version != version || split->credit->len != route->part_count)
+  if (!split || split->version != version || split->credit->len != route->service_count)
     {
       split = g_new (Split, 1);
       *split = (Split){ .version = version, .credit = g_array_new (FALSE, TRUE, sizeof (double)) };
-      g_array_set_size (split->credit, route->part_count);
+      g_array_set_size (split->credit, route->service_count);
       /* Daemons start at different places, or the fleet's first requests would
        * all go to one part. */
-      for (guint i = 0; i < route->part_count; i++)
+      for (guint i = 0; i < route->service_count; i++)
         g_array_index (split->credit, double, i) =
-            g_rand_double (r->random) * route->parts[i].weight;
+            g_rand_double (r->random) * route->services[i].weight;
       g_hash_table_replace (r->splits, g_strdup (route->name), split);
     }
   double total = 0;
   guint best = 0;
-  for (guint i = 0; i < route->part_count; i++)
+  for (guint i = 0; i < route->service_count; i++)
     {
       double *credit = &g_array_index (split->credit, double, i);
-      *credit += route->parts[i].weight;
-      total += route->parts[i].weight;
+      *credit += route->services[i].weight;
+      total += route->services[i].weight;
       if (*credit > g_array_index (split->credit, double, best))
         best = i;
     }
@@ -93,73 +93,76 @@
   if (route->kind != MR_ROUTE_SHARDS)
     return 1;
   guint needed = 1;
-  while (needed < route->part_count && (double) needed / route->part_count < route->least_share)
+  while (needed < route->service_count &&
+         (double) needed / route->service_count < route->min_coverage)
     needed++;
   return needed;
 }
 
 static void
-S_note_shortest (Pool *pool, MrTime now, MrTime left)
+S_note_shortest (BudgetPool *pool, MrTime now, MrTime left)
 {
-  if (pool->shortest_at != 0 && left > pool->shortest && now - pool->shortest_at < SHORTEST_KEPT)
+  if (pool->min_time_left_at != 0 && left > pool->min_time_left &&
+      now - pool->min_time_left_at < SHORTEST_KEPT)
     return;
-  pool->shortest = MAX (left, 1);
-  pool->shortest_at = now;
+  pool->min_time_left = MAX (left, 1);
+  pool->min_time_left_at = now;
 }
 
 static MrTime
-S_patience (const MrRelay *r, const MrRelayRequest *request, MrTime arrived)
+S_patience (const MrRelay *r, const MrRelayRequestParams *request, MrTime arrived)
 {
-  const MrPatienceTerms terms = {
-    .aim = request->route->aim,
+  const MrSoftDeadlineParams terms = {
+    .latency_goal = request->route->latency_goal,
     .time_limit = request->route->time_limit,
-    .left = request->deadline - arrived,
+    .remaining = request->deadline - arrived,
     .round_trip = request->round_trip,
-    .reserve = mr_finish_time_reserve (&r->finish),
+    .response_overhead = mr_response_overhead_estimate (&r->response_overhead),
   };
-  return mr_patience (&terms);
+  return mr_soft_deadline (&terms);
 }
 
-static MrRelayWork *
-S_work_new (MrRelay *r, MrTime now, const MrRelayRequest *request)
+static MrActiveRequest *
+S_work_new (MrRelay *r, MrTime now, const MrRelayRequestParams *request)
 {
-  MrRelayWork *work = g_new0 (MrRelayWork, 1);
+  MrActiveRequest *work = g_new0 (MrActiveRequest, 1);
   const MrRoute *route = request->route;
   MrConfiguration *configuration = request->configuration;
   MrTime arrived = request->arrived ? request->arrived : now;
   gboolean shards = route->kind == MR_ROUTE_SHARDS;
   /* A batch's deadline is its root's, which has kept its reserve back already. */
   MrTime reserve = route->kind == MR_ROUTE_BATCH ? 0 : DEADLINE_RESERVE;
-  *work = (MrRelayWork){
-    .timed = TIMED_WORK,
+  *work = (MrActiveRequest){
+    .owner_kind = TIMER_REQUEST,
     .timer = { .owner = work },
-    .request = request->request,
+    .host_request = request->host_request,
     .configuration = configuration ? mr_configuration_ref (configuration) : NULL,
     .route = route,
     .arrived = arrived,
     .deadline = request->deadline,
     .fingerprint = request->fingerprint,
-    .soft_end = shards ? arrived + S_patience (r, request, arrived) : MR_NEVER,
+    .soft_deadline = shards ? arrived + S_patience (r, request, arrived) : MR_NEVER,
     .hard_end = MIN (request->deadline - reserve, arrived + route->time_limit),
     .cancel_at = MR_NEVER,
-    .part_count = route->kind >= MR_ROUTE_SHARDS ? route->part_count : 1,
-    .needed = S_needed_shards (route),
+    .part_count = route->kind >= MR_ROUTE_SHARDS ? route->service_count : 1,
+    .needed_parts = S_needed_shards (route),
   };
-  work->open = work->part_count;
-  work->jobs = g_new0 (Job, work->part_count);
+  work->open_parts = work->part_count;
+  work->parts = g_new0 (RequestPart, work->part_count);
   work->answers = g_new0 (gpointer, work->part_count);
-  work->sends = g_array_new (FALSE, FALSE, sizeof (MrSendNote));
+  work->sends = g_array_new (FALSE, FALSE, sizeof (MrSendRecord));
   guint first = route->kind == MR_ROUTE_SPLIT ? S_pick_split (r, configuration, route) : 0;
   for (guint i = 0; i < work->part_count; i++)
     {
-      Service *service = mr_relay_service (r, route->parts[first + i].service);
-      work->jobs[i] = (Job){ .work = work, .part = i, .service = service, .hedge_at = MR_NEVER };
-      mr_window_budget_request (&service->pool->budget, &service->pool->terms, now);
-      mr_relay_cap (r, work, service);
+      TargetGroup *service = mr_relay_get_group (r, route->services[first + i].service);
+      work->parts[i] =
+          (RequestPart){ .request = work, .index = i, .group = service, .hedge_at = MR_NEVER };
+      mr_resend_budget_add_request (&service->pool->budget, &service->pool->terms, now);
+      mr_relay_update_limits (r, work, service);
       if (shards)
-        S_note_shortest (service->pool, now, work->soft_end - arrived);
+        S_note_shortest (service->pool, now, work->soft_deadline - arrived);
     }
-  work->kind = S_kind (r, route, work->jobs[0].service->pool);
+  work->stats = S_kind (r, route, work->parts[0].group->pool);
   return work;
 }
 
@@ -175,21 +178,21 @@
  * and 0.68 with it.  By the ratio itself the less urgent kind came first where a shard
  * is over full (0.80 and 0.89). */
 static double
-S_deciding_load (const MrRelayWork *work, MrTime now)
+S_deciding_load (const MrActiveRequest *work, MrTime now)
 {
-  double left = (double) (work->soft_end - now);
+  double left = (double) (work->soft_deadline - now);
   enum
   {
     SPARE_MAX = 8
   };
   double worst[SPARE_MAX + 1] = { 0 };
-  guint spare = MIN (work->spare, (guint) SPARE_MAX);
+  guint spare = MIN (work->omittable_parts, (guint) SPARE_MAX);
   for (guint i = 0; i < work->part_count; i++)
     {
       double load = 0;
-      if (mr_relay_job_crowded (&work->jobs[i], now))
-        load = mr_relay_job_load (&work->jobs[i], now) *
-               sqrt (left / (double) work->jobs[i].service->pool->shortest);
+      if (mr_relay_part_is_saturated (&work->parts[i], now))
+        load = mr_relay_part_load (&work->parts[i], now) *
+               sqrt (left / (double) work->parts[i].group->pool->min_time_left);
       for (guint place = 0; place <= spare; place++)
         if (load > worst[place])
           {
@@ -203,7 +206,7 @@
 
 /* TRUE if the request is to be refused so that others are in time. */
 static gboolean
-S_turn_away (MrRelay *r, const MrRelayWork *work, MrTime now)
+S_turn_away (MrRelay *r, const MrActiveRequest *work, MrTime now)
 {
   if (work->route->kind != MR_ROUTE_SHARDS)
     return FALSE;
@@ -215,7 +218,7 @@
 
 /* Cause for which the request can't be served; MR_CAUSE_NONE if it can. */
 static MrCause
-S_admit (MrRelayWork *work, MrTime now, MrTime *wait)
+S_admit (MrActiveRequest *work, MrTime now, MrTime *wait)
 {
   MrCause none = MR_CAUSE_NO_TARGET;
   guint alive = 0;
@@ -224,46 +227,47 @@
   *wait = 0;
   if (work->hard_end <= now)
     return MR_CAUSE_TIME;
-  if (work->needed == 0)
+  if (work->needed_parts == 0)
     return MR_CAUSE_NONE;
-  MrTime most = (MrTime) (WAIT_SHARE * (double) MIN (work->route->aim, work->hard_end - now));
+  MrTime most =
+      (MrTime) (WAIT_SHARE * (double) MIN (work->route->latency_goal, work->hard_end - now));
   for (guint i = 0; i < work->part_count; i++)
     {
-      const Service *service = work->jobs[i].service;
-      if (mr_relay_usable (service, now, &room) == 0)
+      const TargetGroup *service = work->parts[i].group;
+      if (mr_relay_group_capacity (service, now, &room) == 0)
         {
           none = none == MR_CAUSE_EVACUATED ? none : mr_relay_no_target_cause (service);
           continue;
         }
       alive++;
-      MrTime expected = mr_relay_expected_wait (&work->jobs[i], now);
+      MrTime expected = mr_relay_expected_wait (&work->parts[i], now);
       *wait = MAX (*wait, expected);
       if (expected <= most)
         quick++;
     }
-  if (alive < work->needed)
+  if (alive < work->needed_parts)
     return none;
-  work->spare = alive - work->needed;
-  return quick < work->needed ? MR_CAUSE_OVERLOAD : MR_CAUSE_NONE;
+  work->omittable_parts = alive - work->needed_parts;
+  return quick < work->needed_parts ? MR_CAUSE_OVERLOAD : MR_CAUSE_NONE;
 }
 
 gboolean
-mr_relay_begin_job (MrRelay *r, MrTime now, Job *job)
+mr_relay_begin_part (MrRelay *r, MrTime now, RequestPart *job)
 {
   if (!mr_relay_leave_out (r, now, job))
-    return mr_relay_place (r, now, job, MR_SEND_FIRST);
-  MrRelayWork *work = job->work;
+    return mr_relay_send_or_queue (r, now, job, MR_SEND_FIRST);
+  MrActiveRequest *work = job->request;
   r->counts.left_out++;
-  mr_relay_end_job (r, now, job, MR_CAUSE_OVERLOAD);
-  return g_hash_table_contains (r->works, work);
+  mr_relay_finish_part (r, now, job, MR_CAUSE_OVERLOAD);
+  return g_hash_table_contains (r->requests, work);
 }
 
-MrRelayWork *
-mr_relay_submit (MrRelay *r, MrTime now, const MrRelayRequest *request)
+MrActiveRequest *
+mr_relay_submit (MrRelay *r, MrTime now, const MrRelayRequestParams *request)
 {
-  MrRelayWork *work = S_work_new (r, now, request);
+  MrActiveRequest *work = S_work_new (r, now, request);
   MrTime wait = 0;
-  g_hash_table_add (r->works, work);
+  g_hash_table_add (r->requests, work);
   r->counts.requests++;
   work->cause = mr_relay_admit_content (r, now, work);
   if (work->cause == MR_CAUSE_NONE)
@@ -272,29 +276,29 @@
     work->cause = MR_CAUSE_OVERLOAD;
   if (work->cause != MR_CAUSE_NONE)
     {
-      mr_relay_finish (r, now, work, MR_VERDICT_REFUSED);
+      mr_relay_finish_request (r, now, work, MR_VERDICT_REFUSED);
       return NULL;
     }
-  if (work->one_by_one)
+  if (work->sequential)
     {
       for (guint i = 0; i < work->part_count; i++)
-        mr_relay_hold (&work->jobs[i]);
+        mr_relay_hold_part (&work->parts[i]);
       mr_relay_schedule (r, work);
       return work;
     }
   mr_relay_schedule (r, work);
   if (mr_relay_is_staged (r, now, work))
     {
-      mr_relay_begin_staged (r, now, work);
-      return g_hash_table_contains (r->works, work) ? work : NULL;
+      mr_relay_begin_first_stage (r, now, work);
+      return g_hash_table_contains (r->requests, work) ? work : NULL;
     }
   /* From a random one on, so that what may be left out is shared by all shards
    * that are loaded. */
   guint count = work->part_count;
   guint first = count > 1 ? (guint) g_rand_int_range (r->random, 0, (gint32) count) : 0;
   for (guint i = 0; i < count; i++)
-    if (!mr_relay_begin_job (r, now, &work->jobs[(first + i) % count]) &&
-        !g_hash_table_contains (r->works, work))
+    if (!mr_relay_begin_part (r, now, &work->parts[(first + i) % count]) &&
+        !g_hash_table_contains (r->requests, work))
       return NULL;
   return work;
 }
--- a/src/relay_choice.c
+++ b/src/relay_choice.c
@@ -18,44 +18,45 @@
 static const double FAILING_COST = 60;
 
 gboolean
-mr_relay_stalled (const MrTargetState *target, MrTime now)
+mr_relay_is_stalled (const MrTargetState *target, MrTime now)
 {
-  const Call *oldest = g_queue_peek_head (&((MrTargetState *) target)->open);
-  if (!oldest || target->health.answered_at > oldest->started)
+  const Call *oldest = g_queue_peek_head (&((MrTargetState *) target)->open_calls);
+  if (!oldest || target->health.last_response_at > oldest->started)
     return FALSE;
-  MrTime usual = (MrTime) (STALLED_FACTOR * oldest->kind->usual);
+  MrTime usual = (MrTime) (STALLED_FACTOR * oldest->stats->median);
   return now - oldest->started > MAX (usual, STALLED_MIN);
 }
 
 static double
 S_cost (const MrRelay *relay, MrTime now, const MrTargetState *target)
 {
-  double cost = target->relative * (target->in_flight + 1) * (1 + FAILING_COST * target->failing);
+  double cost = target->relative_latency * (target->in_flight + 1) *
+                (1 + FAILING_COST * target->failure_rate);
   if (relay->domain && !g_str_equal (target->domain, relay->domain))
-    cost *= relay->policy->far_cost;
+    cost *= relay->policy->cross_domain_cost;
   if (now < target->cold_until)
     cost *= COLD_COST;
-  if (mr_relay_stalled (target, now))
+  if (mr_relay_is_stalled (target, now))
     cost *= STALLED_COST;
   return cost;
 }
 
-static Tried *
-S_find_tried (Job *job, const MrTargetState *target)
+static TargetAttempt *
+S_find_tried (RequestPart *job, const MrTargetState *target)
 {
-  for (guint i = 0; i < job->tried_count; i++)
-    if (job->tried[i].target == target)
-      return &job->tried[i];
+  for (guint i = 0; i < job->attempt_count; i++)
+    if (job->attempts[i].target == target)
+      return &job->attempts[i];
   return NULL;
 }
 
 /* Targets that the job was sent to, as the bound counts them. */
 static guint
-S_count_seen (const Job *job)
+S_count_seen (const RequestPart *job)
 {
   guint count = 0;
-  for (guint i = 0; i < job->tried_count; i++)
-    count += job->tried[i].seen || job->tried[i].state == TRIED_SENT ? 1 : 0;
+  for (guint i = 0; i < job->attempt_count; i++)
+    count += job->attempts[i].has_refused || job->attempts[i].state == ATTEMPT_SENT ? 1 : 0;
   return count;
 }
 
@@ -64,80 +65,84 @@
  * targets that refuse everything were sent 27 calls of one request in a millisecond,
  * and the retries of all others with them. */
 static gboolean
-S_may_ask_again (const Job *job, const Tried *tried)
+S_may_ask_again (const RequestPart *job, const TargetAttempt *tried)
 {
-  const MrRelayPolicy *policy = job->work->kind->policy;
-  return tried->state == TRIED_REFUSED && tried->asked < policy->asks;
+  const MrRelayPolicy *policy = job->request->stats->policy;
+  return tried->state == ATTEMPT_REFUSED && tried->send_count < policy->max_sends_per_target;
 }
 
 static gboolean
-S_may_try (const Job *job, const MrTargetState *target)
+S_may_try (const RequestPart *job, const MrTargetState *target)
 {
-  const MrRelayWork *work = job->work;
-  const Tried *tried = S_find_tried ((Job *) job, target);
+  const MrActiveRequest *work = job->request;
+  const TargetAttempt *tried = S_find_tried ((RequestPart *) job, target);
   if (tried)
     return S_may_ask_again (job, tried);
-  return S_count_seen (job) < work->route->attempts && job->tried_count < TRIED_OF_JOB;
+  return S_count_seen (job) < work->route->attempt_limit && job->attempt_count < PART_ATTEMPTS_MAX;
 }
 
 gboolean
-mr_relay_may_try_more (const Job *job)
+mr_relay_has_attempts_left (const RequestPart *job)
 {
-  const MrRelayWork *work = job->work;
-  if (S_count_seen (job) < work->route->attempts)
+  const MrActiveRequest *work = job->request;
+  if (S_count_seen (job) < work->route->attempt_limit)
     return TRUE;
-  for (guint i = 0; i < job->tried_count; i++)
-    if (S_may_ask_again (job, &job->tried[i]))
+  for (guint i = 0; i < job->attempt_count; i++)
+    if (S_may_ask_again (job, &job->attempts[i]))
       return TRUE;
   return FALSE;
 }
 
 void
-mr_relay_note_sent (Job *job, const MrTargetState *target)
+mr_relay_record_send (RequestPart *job, const MrTargetState *target)
 {
-  Tried *tried = S_find_tried (job, target);
-  if (!tried && job->tried_count == TRIED_OF_JOB)
+  TargetAttempt *tried = S_find_tried (job, target);
+  if (!tried && job->attempt_count == PART_ATTEMPTS_MAX)
     return;
   if (!tried)
-    tried = &job->tried[job->tried_count++];
+    tried = &job->attempts[job->attempt_count++];
   tried->target = target;
-  tried->state = TRIED_SENT;
-  tried->asked++;
+  tried->state = ATTEMPT_SENT;
+  tried->send_count++;
 }
 
 void
-mr_relay_note_tried (Job *job, const MrTargetState *target, MrCallOutcome outcome)
+mr_relay_record_attempt (RequestPart *job, const MrTargetState *target, MrCallOutcome outcome)
 {
-  Tried *tried = S_find_tried (job, target);
+  TargetAttempt *tried = S_find_tried (job, target);
   if (!tried)
     return;
-  tried->seen |= outcome == MR_CALL_SHED;
+  tried->has_refused |= outcome == MR_CALL_SHED;
   if (outcome == MR_CALL_NOT_CONNECTED || outcome == MR_CALL_WITHDRAWN)
-    tried->state = tried->seen ? TRIED_REFUSED : TRIED_UNSEEN;
+    tried->state = tried->has_refused ? ATTEMPT_REFUSED : ATTEMPT_UNSENT;
   if (outcome == MR_CALL_SHED)
-    tried->state = TRIED_REFUSED;
+    tried->state = ATTEMPT_REFUSED;
 }
 
 /* A target whose region nobody knows is in none of the homes. */
 static gboolean
 S_is_at_home (const MrRoute *route, const MrTargetState *target)
 {
-  if (!route->homes || !MR_SAFEGUARD (MR_GUARD_HOMES))
+  if (!route->home_regions || !MR_SAFEGUARD (MR_GUARD_HOMES))
     return TRUE;
-  return target->region && g_strv_contains ((const char *const *) route->homes, target->region);
+  return target->region &&
+         g_strv_contains ((const char *const *) route->home_regions, target->region);
 }
 
 gboolean
-mr_relay_may_go (const MrRelay *relay, MrTime now, const Job *job, const MrTargetState *target)
+mr_relay_may_send_to (const MrRelay *relay,
+                      MrTime now,
+                      const RequestPart *job,
+                      const MrTargetState *target)
 {
   MrRelayHost *host = relay->host;
-  if (!S_may_try (job, target) || !S_is_at_home (job->work->route, target))
+  if (!S_may_try (job, target) || !S_is_at_home (job->request->route, target))
     return FALSE;
-  return !host->holds || host->holds (host, job->work->request, target, now);
+  return !host->can_serve || host->can_serve (host, job->request->host_request, target, now);
 }
 
 MrCause
-mr_relay_no_target_cause (const Service *service)
+mr_relay_no_target_cause (const TargetGroup *service)
 {
   for (guint i = 0; i < service->targets->len; i++)
     {
@@ -149,9 +154,9 @@
 }
 
 MrTargetState *
-mr_relay_pick (MrRelay *relay, MrTime now, const Job *job, gboolean *hope)
+mr_relay_choose_target (MrRelay *relay, MrTime now, const RequestPart *job, gboolean *hope)
 {
-  const GPtrArray *targets = job->service->targets;
+  const GPtrArray *targets = job->group->targets;
   MrTargetState *best = NULL;
   double best_cost = G_MAXDOUBLE;
   *hope = FALSE;
@@ -160,10 +165,11 @@
   for (guint n = 0; n < targets->len; n++)
     {
       MrTargetState *target = g_ptr_array_index (targets, (n + offset) % targets->len);
-      if (!mr_target_state_hopeful (target, now) || !mr_relay_may_go (relay, now, job, target))
+      if (!mr_target_state_may_become_usable (target, now) ||
+          !mr_relay_may_send_to (relay, now, job, target))
         continue;
       *hope = TRUE;
-      if (!mr_target_state_bears (target, now) || !mr_target_state_free_slot (target))
+      if (!mr_target_state_can_take_call (target, now) || !mr_target_state_has_free_slot (target))
         continue;
       double cost = S_cost (relay, now, target);
       if (cost < best_cost)
