--- a/src/relay_doubt.c
+++ b/src/relay_crash_check.c
@@ -3,7 +3,7 @@
  * A call whose connection breaks says nothing of its target: it may have reset a connection
  * over its cap, forgotten an idle one, or ended.  Its probe tells (prober.h).  Until then a
  * request without any answer waits with hedges and retries, and what turns out is evidence
- * against its content (relay_content.c). */
+ * against its content (relay_quarantine.c). */
 #include "relay_private.h"
 
 #include "log.h"
@@ -30,7 +30,7 @@
 {
   if (target->withdrawn_at != 0)
     return now - target->withdrawn_at < WITHDRAWN_LATELY;
-  return target->health.state == MR_HEALTH_DOWN && target->health.absent;
+  return target->health.state == MR_HEALTH_DOWN && target->health.probe_failed;
 }
 
 static void
@@ -40,16 +40,16 @@
   if (!line)
     return;
   g_autoptr (GString) contents = g_string_new ("[");
-  for (guint i = 0; i < MIN (target->broken->len, CONTENTS_LOGGED); i++)
+  for (guint i = 0; i < MIN (target->broken_calls->len, CONTENTS_LOGGED); i++)
     {
       char text[MR_FINGERPRINT_DIGITS + 1];
-      mr_fingerprint_write (g_array_index (target->broken, MrFingerprint, i), text);
+      mr_fingerprint_write (g_array_index (target->broken_calls, MrFingerprint, i), text);
       g_string_append_printf (contents, "%s\"%s\"", i > 0 ? "," : "", text);
     }
   g_string_append_c (contents, ']');
   mr_log_text (line, "target", mr_text (target->id));
   mr_log_text (line, "address", mr_text (target->key));
-  mr_log_number (line, "calls", target->broken->len);
+  mr_log_number (line, "calls", target->broken_calls->len);
   mr_log_json (line, "contents", mr_text_of (contents));
   mr_log_end (line);
 }
@@ -57,15 +57,15 @@
 static void
 S_keep_ended (MrRelay *r, MrTime now, const MrTargetState *target)
 {
-  EndedTarget *ended = &r->ended[r->ended_count++ % ENDED_KEPT];
+  CrashedTarget *ended = &r->crashed_targets[r->crashed_count++ % CRASHED_TARGETS_KEPT];
   ended->at = now;
-  ended->count = MIN (target->broken->len, ENDED_CONTENTS);
+  ended->count = MIN (target->broken_calls->len, CRASHED_CONTENTS_MAX);
   for (guint i = 0; i < ended->count; i++)
-    ended->contents[i] = g_array_index (target->broken, MrFingerprint, i);
+    ended->contents[i] = g_array_index (target->broken_calls, MrFingerprint, i);
 }
 
 static gboolean
-S_was_on (const EndedTarget *ended, MrFingerprint fingerprint)
+S_was_on (const CrashedTarget *ended, MrFingerprint fingerprint)
 {
   for (guint i = 0; i < ended->count; i++)
     if (mr_fingerprint_equal (ended->contents[i], fingerprint))
@@ -74,150 +74,153 @@
 }
 
 MrTime
-mr_relay_last_other_end (const MrRelay *r, MrFingerprint fingerprint)
+mr_relay_last_unrelated_crash (const MrRelay *r, MrFingerprint fingerprint)
 {
   MrTime last = 0;
-  for (guint i = 0; i < MIN (r->ended_count, ENDED_KEPT); i++)
-    if (!S_was_on (&r->ended[i], fingerprint))
-      last = MAX (last, r->ended[i].at);
+  for (guint i = 0; i < MIN (r->crashed_count, CRASHED_TARGETS_KEPT); i++)
+    if (!S_was_on (&r->crashed_targets[i], fingerprint))
+      last = MAX (last, r->crashed_targets[i].at);
   return last;
 }
 
 static void
 S_note_ended (MrRelay *r, MrTime now, MrTargetState *target)
 {
-  if (target->broken->len == 0)
+  if (target->broken_calls->len == 0)
     return;
   S_keep_ended (r, now, target);
-  r->counts.ended++;
+  r->counts.targets_crashed++;
   S_log_ended (target);
-  g_array_set_size (target->broken, 0);
+  g_array_set_size (target->broken_calls, 0);
 }
 
 void
-mr_relay_note_broken (MrRelay *r, MrTime now, MrTargetState *target, MrFingerprint fingerprint)
+mr_relay_record_broken_call (MrRelay *r,
+                             MrTime now,
+                             MrTargetState *target,
+                             MrFingerprint fingerprint)
 {
-  if (target->broken->len < BROKEN_KEPT && mr_fingerprint_is_set (fingerprint))
-    g_array_append_val (target->broken, fingerprint);
+  if (target->broken_calls->len < BROKEN_KEPT && mr_fingerprint_is_set (fingerprint))
+    g_array_append_val (target->broken_calls, fingerprint);
   if (S_is_gone (target, now))
     S_note_ended (r, now, target);
 }
 
 static void
-S_leave_doubt (Doubt *doubt)
-{
-  if (doubt->work)
-    doubt->work->doubts--;
-  if (doubt->job)
-    doubt->job->doubts--;
-  doubt->work = NULL;
-  doubt->job = NULL;
+S_leave_doubt (CrashCheck *doubt)
+{
+  if (doubt->request)
+    doubt->request->crash_checks--;
+  if (doubt->part)
+    doubt->part->crash_checks--;
+  doubt->request = NULL;
+  doubt->part = NULL;
 }
 
 void
-mr_relay_leave_doubts (MrRelay *r, MrRelayWork *work)
+mr_relay_detach_crash_checks (MrRelay *r, MrActiveRequest *work)
 {
-  for (guint i = 0; work->doubts > 0 && i < r->doubts->len;)
+  for (guint i = 0; work->crash_checks > 0 && i < r->crash_checks->len;)
     {
-      Doubt *doubt = g_ptr_array_index (r->doubts, i);
-      gboolean own = doubt->work == work;
+      CrashCheck *doubt = g_ptr_array_index (r->crash_checks, i);
+      gboolean own = doubt->request == work;
       if (own)
         S_leave_doubt (doubt);
-      if (!own || work->have == 0)
+      if (!own || work->answered_parts == 0)
         {
           i++;
           continue;
         }
       mr_timers_set (r->timers, &doubt->timer, MR_NEVER);
-      g_ptr_array_remove_index_fast (r->doubts, i);
+      g_ptr_array_remove_index_fast (r->crash_checks, i);
     }
 }
 
 void
-mr_relay_doubt (MrRelay *r, MrTime now, Job *job, MrTargetState *target)
+mr_relay_begin_crash_check (MrRelay *r, MrTime now, RequestPart *job, MrTargetState *target)
 {
-  MrRelayWork *work = job->work;
+  MrActiveRequest *work = job->request;
   gboolean gone = S_is_gone (target, now);
-  if (!mr_fingerprint_is_set (work->fingerprint) || work->have > 0 ||
+  if (!mr_fingerprint_is_set (work->fingerprint) || work->answered_parts > 0 ||
       (!gone && target->health.state != MR_HEALTH_SUSPECT) || !MR_SAFEGUARD (MR_GUARD_QUARANTINE))
     return;
-  Doubt *doubt = g_new (Doubt, 1);
-  *doubt = (Doubt){
-    .timed = TIMED_DOUBT,
+  CrashCheck *doubt = g_new (CrashCheck, 1);
+  *doubt = (CrashCheck){
+    .owner_kind = TIMER_CRASH_CHECK,
     .timer = { .owner = doubt },
     .target = target,
-    .work = work,
-    .job = job,
+    .request = work,
+    .part = job,
     .fingerprint = work->fingerprint,
-    .base = work->base,
+    .evidence_at_send = work->evidence_at_send,
     .probation = work->probation,
-    .gone = gone,
+    .crash_confirmed = gone,
   };
-  work->doubts++;
-  job->doubts++;
-  g_ptr_array_add (r->doubts, doubt);
+  work->crash_checks++;
+  job->crash_checks++;
+  g_ptr_array_add (r->crash_checks, doubt);
   mr_timers_set (r->timers, &doubt->timer, gone ? now : now + DOUBT_WAIT);
 }
 
 static gboolean
-S_is_idle (const Job *job)
+S_is_idle (const RequestPart *job)
 {
-  return !job->ended && !job->held && !job->waiting && job->doubts == 0 &&
-         mr_relay_job_calls (job) == 0;
+  return !job->ended && !job->held && !job->queued && job->crash_checks == 0 &&
+         mr_relay_part_call_count (job) == 0;
 }
 
 /* Takes @doubt, which has been taken out of the list. */
 static void
-S_resolve (MrRelay *r, MrTime now, Doubt *doubt, gboolean gone)
+S_resolve (MrRelay *r, MrTime now, CrashCheck *doubt, gboolean gone)
 {
-  MrRelayWork *work = doubt->work;
-  Job *job = doubt->job;
+  MrActiveRequest *work = doubt->request;
+  RequestPart *job = doubt->part;
   mr_timers_set (r->timers, &doubt->timer, MR_NEVER);
   if (work)
     {
-      work->doubts--;
-      job->doubts--;
+      work->crash_checks--;
+      job->crash_checks--;
     }
   if (gone)
     mr_relay_add_evidence (r, now, doubt);
   g_free (doubt);
-  if (!work || !g_hash_table_contains (r->works, work))
+  if (!work || !g_hash_table_contains (r->requests, work))
     return;
   if (S_is_idle (job))
-    mr_relay_go_on (r, now, job);
+    mr_relay_retry_or_hold (r, now, job);
   else
     mr_relay_schedule (r, work);
 }
 
 void
-mr_relay_doubt_due (MrRelay *r, MrTime now, Doubt *doubt)
+mr_relay_crash_check_due (MrRelay *r, MrTime now, CrashCheck *doubt)
 {
   guint place = 0;
-  g_ptr_array_find (r->doubts, doubt, &place);
-  g_ptr_array_steal_index_fast (r->doubts, place);
-  S_resolve (r, now, doubt, doubt->gone);
+  g_ptr_array_find (r->crash_checks, doubt, &place);
+  g_ptr_array_steal_index_fast (r->crash_checks, place);
+  S_resolve (r, now, doubt, doubt->crash_confirmed);
 }
 
 /* One that is of @target, taken out of the list; NULL if there is none. */
-static Doubt *
+static CrashCheck *
 S_take_doubt (MrRelay *r, const MrTargetState *target)
 {
-  for (guint i = 0; i < r->doubts->len; i++)
+  for (guint i = 0; i < r->crash_checks->len; i++)
     {
-      const Doubt *doubt = g_ptr_array_index (r->doubts, i);
+      const CrashCheck *doubt = g_ptr_array_index (r->crash_checks, i);
       if (doubt->target == target)
-        return g_ptr_array_steal_index_fast (r->doubts, i);
+        return g_ptr_array_steal_index_fast (r->crash_checks, i);
     }
   return NULL;
 }
 
 void
-mr_relay_note_probed (MrRelay *r, MrTime now, MrTargetState *target, gboolean answered)
+mr_relay_record_probe (MrRelay *r, MrTime now, MrTargetState *target, gboolean answered)
 {
   if (answered)
-    g_array_set_size (target->broken, 0); /* only the connections had broken */
+    g_array_set_size (target->broken_calls, 0); /* only the connections had broken */
   else
     S_note_ended (r, now, target);
-  for (Doubt *doubt = S_take_doubt (r, target); doubt; doubt = S_take_doubt (r, target))
+  for (CrashCheck *doubt = S_take_doubt (r, target); doubt; doubt = S_take_doubt (r, target))
     S_resolve (r, now, doubt, !answered);
 }
--- a/src/relay_evacuation.c
+++ b/src/relay_evacuation.c
@@ -19,7 +19,7 @@
 static void
 S_withdraw_unsent (MrRelay *r, MrTime now, GHashTable *added)
 {
-  if (!r->host->take_back)
+  if (!r->host->withdraw_call)
     return;
   g_autoptr (GArray) ids = g_array_new (FALSE, FALSE, sizeof (guint64));
   GHashTableIter iter;
@@ -35,7 +35,7 @@
     {
       guint64 id = g_array_index (ids, guint64, i);
       /* The end of another may have ended this one. */
-      if (!g_hash_table_contains (r->calls, &id) || !r->host->take_back (r->host, id))
+      if (!g_hash_table_contains (r->calls, &id) || !r->host->withdraw_call (r->host, id))
         continue;
       r->counts.withdrawn++;
       mr_relay_call_end (r, now, id, MR_CALL_WITHDRAWN, NULL);
@@ -46,16 +46,16 @@
 static void
 S_return (MrRelay *r, MrTime now, MrTargetState *target)
 {
-  mr_limit_on_cold (&target->limit);
+  mr_concurrency_limit_slow_start (&target->limit);
   mr_relay_assume_cold (target, now);
-  mr_relay_pump_target (r, now, target);
+  mr_relay_send_queued_to (r, now, target);
 }
 
 static void
 S_pump_all (MrRelay *r, MrTime now, MrTargetState *target)
 {
   for (guint i = 0; i < target->sets->len; i++)
-    mr_relay_pump (r, now, g_ptr_array_index (target->sets, i));
+    mr_relay_send_queued (r, now, g_ptr_array_index (target->sets, i));
 }
 
 static gboolean
--- a/src/relay_end.c
+++ b/src/relay_finish.c
@@ -13,13 +13,13 @@
 static const MrTime RETRY_MAX = 2 * MR_SECOND;
 
 static MrTime
-S_retry_after (const MrRelayWork *work, MrTime now)
+S_retry_after (const MrActiveRequest *work, MrTime now)
 {
   MrTime wait = 0;
   if (work->cause == MR_CAUSE_QUARANTINED)
     return 0; /* it is not to come back */
   for (guint i = 0; i < work->part_count; i++)
-    wait = MAX (wait, mr_relay_expected_wait (&work->jobs[i], now));
+    wait = MAX (wait, mr_relay_expected_wait (&work->parts[i], now));
   if (work->cause == MR_CAUSE_NO_TARGET)
     wait = MAX (wait, RETRY_NO_TARGET);
   if (work->cause == MR_CAUSE_EVACUATED)
@@ -51,11 +51,12 @@
 }
 
 void
-mr_relay_finish (MrRelay *r, MrTime now, MrRelayWork *work, MrVerdict verdict)
+mr_relay_finish_request (MrRelay *r, MrTime now, MrActiveRequest *work, MrVerdict verdict)
 {
   /* "Not run" is a promise: a call that is still out may yet run. */
-  gboolean may_run = (work->ran || mr_relay_has_calls (work)) && MR_SAFEGUARD (MR_GUARD_NOT_RUN);
-  MrTime linger = mr_relay_linger (r, now);
+  gboolean may_run =
+      (work->may_have_run || mr_relay_has_calls (work)) && MR_SAFEGUARD (MR_GUARD_NOT_RUN);
+  MrTime linger = mr_relay_linger_until (r, now);
   if (verdict == MR_VERDICT_REFUSED && may_run)
     verdict = MR_VERDICT_FAILED;
   if (verdict == MR_VERDICT_TIMEOUT && !may_run)
@@ -66,91 +67,92 @@
     .retry_after = verdict == MR_VERDICT_REFUSED ? S_retry_after (work, now) : 0,
     .part_count = work->part_count,
     .answers = work->answers,
-    .missing = work->part_count - work->have,
-    .due = work->cause == MR_CAUSE_SOFT_END ? work->soft_end : 0,
+    .missing_parts = work->part_count - work->answered_parts,
+    .soft_deadline = work->cause == MR_CAUSE_SOFT_END ? work->soft_deadline : 0,
     .may_have_run = may_run,
     .sends = work->sends,
     .expected_wait =
-        verdict == MR_VERDICT_REFUSED ? mr_relay_expected_wait (&work->jobs[0], now) : 0,
+        verdict == MR_VERDICT_REFUSED ? mr_relay_expected_wait (&work->parts[0], now) : 0,
   };
-  S_count (r, verdict, result.missing);
+  S_count (r, verdict, result.missing_parts);
   if (work->cause == MR_CAUSE_QUARANTINED)
     r->counts.quarantined++;
-  g_hash_table_remove (r->works, work);
-  mr_relay_leave_content (r, work);
+  g_hash_table_remove (r->requests, work);
+  mr_relay_detach_content (r, work);
   for (guint i = 0; i < work->part_count; i++)
     {
-      mr_relay_unqueue (&work->jobs[i]);
-      mr_relay_orphan_calls (r, now, &work->jobs[i], linger);
+      mr_relay_dequeue (&work->parts[i]);
+      mr_relay_abandon_calls (r, now, &work->parts[i], linger);
     }
-  r->host->done (r->host, work->request, &result);
-  mr_relay_work_free (r, work);
+  r->host->request_done (r->host, work->host_request, &result);
+  mr_active_request_free (r, work);
 }
 
 void
-mr_relay_forget (MrRelay *r, MrTime now, MrRelayWork *work)
+mr_relay_abandon_request (MrRelay *r, MrTime now, MrActiveRequest *work)
 {
   /* Searchers drop the work of a connection that closes.  A request that may not
    * be repeated is left to finish: its caller wants it done, if not told. */
-  MrTime until = work->route->repeatable ? now : work->hard_end;
+  MrTime until = work->route->idempotent ? now : work->hard_end;
   if (r->policy->linger == MR_NEVER)
     until = MR_NEVER;
-  g_hash_table_remove (r->works, work);
-  mr_relay_leave_content (r, work);
+  g_hash_table_remove (r->requests, work);
+  mr_relay_detach_content (r, work);
   for (guint i = 0; i < work->part_count; i++)
     {
-      mr_relay_unqueue (&work->jobs[i]);
-      mr_relay_orphan_calls (r, now, &work->jobs[i], until);
+      mr_relay_dequeue (&work->parts[i]);
+      mr_relay_abandon_calls (r, now, &work->parts[i], until);
     }
   for (guint i = 0; i < work->part_count; i++)
-    mr_relay_pump (r, now, work->jobs[i].service);
-  mr_relay_work_free (r, work);
+    mr_relay_send_queued (r, now, work->parts[i].group);
+  mr_active_request_free (r, work);
 }
 
 /* The last answer that told a failure goes to the caller as it is, rather than
  * an error of ours that says less. */
 static gboolean
-S_pass_failure_on (MrRelayWork *work)
+S_pass_failure_on (MrActiveRequest *work)
 {
-  Job *job = &work->jobs[0];
-  if (work->route->kind >= MR_ROUTE_SHARDS || !job->failure)
+  RequestPart *job = &work->parts[0];
+  if (work->route->kind >= MR_ROUTE_SHARDS || !job->error_answer)
     return FALSE;
-  work->answers[0] = g_steal_pointer (&job->failure);
-  work->have = 1;
+  work->answers[0] = g_steal_pointer (&job->error_answer);
+  work->answered_parts = 1;
   return TRUE;
 }
 
 void
-mr_relay_end_job (MrRelay *r, MrTime now, Job *job, MrCause cause)
+mr_relay_finish_part (MrRelay *r, MrTime now, RequestPart *job, MrCause cause)
 {
-  MrRelayWork *work = job->work;
+  MrActiveRequest *work = job->request;
   if (job->ended)
     return;
   job->ended = TRUE;
-  work->open--;
+  work->open_parts--;
   if (cause != MR_CAUSE_NONE)
     work->cause = cause;
-  if (work->have + work->open < work->needed)
+  if (work->answered_parts + work->open_parts < work->needed_parts)
     {
       gboolean passed = S_pass_failure_on (work);
-      if (!passed && work->route->kind == MR_ROUTE_SHARDS && work->part_count > 1 && work->ran)
+      if (!passed && work->route->kind == MR_ROUTE_SHARDS && work->part_count > 1 &&
+          work->may_have_run)
         work->cause = MR_CAUSE_FEW_SHARDS;
-      mr_relay_finish (r, now, work, passed ? MR_VERDICT_ANSWER : MR_VERDICT_REFUSED);
+      mr_relay_finish_request (r, now, work, passed ? MR_VERDICT_ANSWER : MR_VERDICT_REFUSED);
       return;
     }
-  if (work->open > 0)
+  if (work->open_parts > 0)
     {
-      if (work->have >= work->needed && now >= work->soft_end)
-        mr_relay_finish (r, now, work, MR_VERDICT_MERGE);
+      if (work->answered_parts >= work->needed_parts && now >= work->soft_deadline)
+        mr_relay_finish_request (r, now, work, MR_VERDICT_MERGE);
       else
         {
           mr_relay_schedule (r, work);
-          mr_relay_end_stage (r, now, work);
+          mr_relay_end_first_stage (r, now, work);
         }
       return;
     }
   gboolean merged = work->route->kind >= MR_ROUTE_SHARDS;
-  mr_relay_finish (r, now, work, merged ? MR_VERDICT_MERGE : MR_VERDICT_ANSWER);
+  mr_relay_finish_request (r, now, work, merged ? MR_VERDICT_MERGE : MR_VERDICT_ANSWER);
 }
 
 static gboolean
@@ -162,80 +164,84 @@
 
 /* A call that the job waited for has ended without the wanted answer. */
 static void
-S_settle (
-    MrRelay *r, MrTime now, Job *job, MrTargetState *target, MrCallOutcome outcome, gpointer answer)
+S_settle (MrRelay *r,
+          MrTime now,
+          RequestPart *job,
+          MrTargetState *target,
+          MrCallOutcome outcome,
+          gpointer answer)
 {
-  MrRelayWork *work = job->work;
+  MrActiveRequest *work = job->request;
   if (outcome == MR_CALL_BROKEN)
-    mr_relay_doubt (r, now, job, target);
+    mr_relay_begin_crash_check (r, now, job, target);
   if (outcome == MR_CALL_NOT_CONNECTED || outcome == MR_CALL_WITHDRAWN)
-    job->sends--; /* no target has seen it */
+    job->send_count--; /* no target has seen it */
   else
-    job->reached = work->trial == job;
+    job->trial_reached_target = work->trial_part == job;
   if (!S_not_run (outcome))
-    work->ran = TRUE;
+    work->may_have_run = TRUE;
   if (outcome == MR_CALL_ERROR && answer)
     {
-      if (job->failure)
-        r->host->free_answer (job->failure);
-      job->failure = answer;
+      if (job->error_answer)
+        r->host->free_answer (job->error_answer);
+      job->error_answer = answer;
     }
   else if (answer)
     r->host->free_answer (answer);
-  if (mr_relay_job_calls (job) > 0)
+  if (mr_relay_part_call_count (job) > 0)
     return;
   /* A connection that broke says nothing: the target may have run the request
    * and lost only the answer. */
-  if (!work->route->repeatable && !S_not_run (outcome) && MR_SAFEGUARD (MR_GUARD_NOT_RUN))
+  if (!work->route->idempotent && !S_not_run (outcome) && MR_SAFEGUARD (MR_GUARD_NOT_RUN))
     {
-      mr_relay_end_job (r, now, job, MR_CAUSE_BROKEN);
+      mr_relay_finish_part (r, now, job, MR_CAUSE_BROKEN);
       return;
     }
-  if (job->doubts == 0)
-    mr_relay_go_on (r, now, job);
+  if (job->crash_checks == 0)
+    mr_relay_retry_or_hold (r, now, job);
 }
 
 /* A call that lost to a hedge would have taken longer than this.  Where it
  * is cancelled nothing else tells; left out, the quantile would sink until half
  * of the hedges went to ordinary calls. */
 static void
-S_note_lost_calls (const MrRelay *r, MrTime now, const Job *job)
+S_note_lost_calls (const MrRelay *r, MrTime now, const RequestPart *job)
 {
-  for (guint i = 0; r->host->unwanted && i < CALLS_OF_JOB; i++)
+  for (guint i = 0; r->host->call_abandoned && i < PART_CALLS_MAX; i++)
     if (job->calls[i])
-      mr_histogram_add (&job->calls[i]->kind->latency, now - job->calls[i]->started);
+      mr_histogram_add (&job->calls[i]->stats->latency, now - job->calls[i]->started);
 }
 
 static void
-S_take_answer (MrRelay *r, MrTime now, Job *job, gpointer answer)
+S_take_answer (MrRelay *r, MrTime now, RequestPart *job, gpointer answer)
 {
-  MrRelayWork *work = job->work;
+  MrActiveRequest *work = job->request;
   MrFingerprint fingerprint = work->fingerprint;
-  work->answers[job->part] = answer;
-  work->ran = TRUE;
-  work->have++;
+  work->answers[job->index] = answer;
+  work->may_have_run = TRUE;
+  work->answered_parts++;
   S_note_lost_calls (r, now, job);
-  mr_relay_orphan_calls (r, now, job, mr_relay_linger (r, now));
-  mr_relay_end_job (r, now, job, MR_CAUSE_NONE);
-  mr_relay_note_answered (r, now, fingerprint);
+  mr_relay_abandon_calls (r, now, job, mr_relay_linger_until (r, now));
+  mr_relay_finish_part (r, now, job, MR_CAUSE_NONE);
+  mr_relay_content_answered (r, now, fingerprint);
 }
 
 static void
 S_note_end (const Call *call, MrTime now, MrCallOutcome outcome)
 {
-  MrSendNote *note = &g_array_index (call->job->work->sends, MrSendNote, call->note);
-  note->ended = TRUE;
+  MrSendRecord *note = &g_array_index (call->part->request->sends, MrSendRecord, call->send_index);
+  note->finished = TRUE;
   note->outcome = outcome;
-  note->took = now - call->started;
+  note->duration = now - call->started;
 }
 
 void
-mr_relay_withdraw_calls (MrRelay *r, MrTime now, Job *job)
+mr_relay_cancel_part_calls (MrRelay *r, MrTime now, RequestPart *job)
 {
-  for (guint i = 0; i < CALLS_OF_JOB; i++)
+  for (guint i = 0; i < PART_CALLS_MAX; i++)
     if (job->calls[i])
       S_note_end (job->calls[i], now, MR_CALL_CANCELLED);
-  mr_relay_orphan_calls (r, now, job, r->policy->linger == MR_NEVER ? MR_NEVER : now);
+  mr_relay_abandon_calls (r, now, job, r->policy->linger == MR_NEVER ? MR_NEVER : now);
 }
 
 void
@@ -248,29 +254,29 @@
         r->host->free_answer (answer);
       return;
     }
-  Job *job = call->job;
+  RequestPart *job = call->part;
   MrTargetState *target = call->target;
   MrTime started = call->started;
   MrFingerprint fingerprint = call->fingerprint;
   if (outcome == MR_CALL_ANSWER)
-    mr_relay_note_latency (call->kind, target, now - started);
+    mr_relay_record_latency (call->stats, target, now - started);
   if (job)
     {
       S_note_end (call, now, outcome);
-      mr_relay_note_tried (job, target, outcome);
-      for (guint i = 0; i < CALLS_OF_JOB; i++)
+      mr_relay_record_attempt (job, target, outcome);
+      for (guint i = 0; i < PART_CALLS_MAX; i++)
         if (job->calls[i] == call)
           job->calls[i] = NULL;
     }
   mr_relay_call_free (r, call);
-  MrHealthAction action = mr_relay_note_target (r, now, target, outcome, started);
+  MrHealthAction action = mr_relay_record_outcome (r, now, target, outcome, started);
   if (outcome == MR_CALL_BROKEN)
-    mr_relay_note_broken (r, now, target, fingerprint);
+    mr_relay_record_broken_call (r, now, target, fingerprint);
   if (job && outcome == MR_CALL_ANSWER)
     S_take_answer (r, now, job, answer);
   else if (job)
     S_settle (r, now, job, target, outcome, answer);
   else if (answer)
     r->host->free_answer (answer);
-  mr_relay_act (r, now, target, action);
+  mr_relay_apply_health_action (r, now, target, action);
 }
--- a/src/relay_pages.c
+++ b/src/relay_pages.c
@@ -18,10 +18,10 @@
 static void
 S_on_ready (MrCallerServerHost *host, MrCaller *caller, const MrHttpParser *in, MrTime began)
 {
-  const MrRelayTask *task = ((Pages *) host)->task;
+  const MrRelayTask *task = ((PageHost *) host)->task;
   (void) began;
   gboolean known = task->dialect->is_ready_question (mr_http_parser_target (in));
-  gboolean ready = mr_relay_task_ready (task) && task->stop_at == 0;
+  gboolean ready = mr_relay_task_ready (task) && task->stop_began == 0;
   int status = !known ? STATUS_NOT_FOUND : ready ? STATUS_OK : STATUS_UNAVAILABLE;
   mr_caller_answer (caller, status, (MrText){ 0 }, (MrText){ 0 });
 }
@@ -31,21 +31,22 @@
 S_entries_for (const MrRelayTask *task, const MrAddressQuestion *question)
 {
   const MrView *view = task->view;
-  if (!view || !task->plan.entries)
+  if (!view || !task->entry_plan.entries)
     return g_ptr_array_new ();
   g_autoptr (GHashTable) regions =
-      view->configuration ? mr_configuration_homes (view->configuration, question->host) : NULL;
+      view->configuration ? mr_configuration_home_regions (view->configuration, question->host)
+                          : NULL;
   if (!regions)
-    return g_ptr_array_ref (task->plan.entries);
+    return g_ptr_array_ref (task->entry_plan.entries);
   g_autofree char *region = mr_text_dup (question->region);
   g_hash_table_add (regions, region);
-  return mr_entry_plan_in (&task->plan, task->roster, regions);
+  return mr_entry_plan_in (&task->entry_plan, task->roster, regions);
 }
 
 static void
 S_on_question (MrCallerServerHost *host, MrCaller *caller, const MrHttpParser *in, MrTime began)
 {
-  MrRelayTask *task = ((Pages *) host)->task;
+  MrRelayTask *task = ((PageHost *) host)->task;
   MrAddressQuestion question = { 0 };
   (void) began;
   if (!task->dialect->read_address_question (mr_http_parser_target (in), &question))
@@ -66,7 +67,8 @@
       return;
     }
   const MrRelaySettings *settings = task->settings;
-  MrTime keep = mr_entry_keep ((guint) settings->domain_losses, settings->keep_most_ms * MR_MS);
+  MrTime keep = mr_entry_keep ((guint) settings->tolerated_domain_losses,
+                               settings->address_ttl_max_ms * MR_MS);
   g_autoptr (GString) body = task->dialect->write_addresses (addresses, keep);
   mr_caller_answer (caller, STATUS_OK, mr_text (json_type), mr_text_of (body));
 }
@@ -99,13 +101,13 @@
     { "relay_failed_total", counts->failed },
     { "relay_timeouts_total", counts->timeouts },
     { "relay_silent_total", counts->silent },
-    { "relay_targets_ended_total", counts->ended },
-    { "relay_ends_excused_total", counts->excused },
+    { "relay_targets_ended_total", counts->targets_crashed },
+    { "relay_ends_excused_total", counts->crashes_excused },
     { "relay_staged_total", counts->staged },
     { "relay_trials_total", counts->trials },
     { "relay_withdrawn_total", counts->withdrawn },
     { "relay_quarantined_total", counts->quarantined },
-    { "relay_early_requests_total", task->early_count },
+    { "relay_early_requests_total", task->early_request_count },
     { "relay_connections_total", client.connections },
     { "relay_reused_total", client.reused },
     { "relay_skipped_answers_total", client.skipped },
@@ -114,18 +116,19 @@
   };
   for (gsize i = 0; i < G_N_ELEMENTS (counters); i++)
     S_append (out, counters[i].name, "counter", counters[i].value);
-  S_append (out, "relay_open_requests", "gauge", mr_relay_open (task->relay));
-  S_append (out, "relay_usable_targets", "gauge", mr_relay_usable_targets (task->relay));
+  S_append (out, "relay_open_requests", "gauge", mr_relay_request_count (task->relay));
+  S_append (out, "relay_usable_targets", "gauge", mr_relay_usable_target_count (task->relay));
   S_append (out, "relay_finish_reserve_us", "gauge",
-            (guint64) mr_relay_finish_reserve (task->relay));
+            (guint64) mr_relay_response_overhead (task->relay));
   S_append (out, "evacuated_domains", "gauge",
-            task->view ? g_hash_table_size (task->view->evacuated) : 0);
-  S_append (out, "relay_caller_connections", "gauge", mr_caller_server_connections (task->callers));
-  for (guint i = 1; i < G_N_ELEMENTS (task->statuses); i++)
+            task->view ? g_hash_table_size (task->view->evacuated_domains) : 0);
+  S_append (out, "relay_caller_connections", "gauge",
+            mr_caller_server_connections (task->caller_server));
+  for (guint i = 1; i < G_N_ELEMENTS (task->status_class_counts); i++)
     g_string_append_printf (
         out, "merlinring_relay_answers_total{status=\"%uxx\"} %" G_GUINT64_FORMAT "\n", i,
-        task->statuses[i]);
-  mr_metrics_write_histogram (out, "relay_latency", "result=\"success\"", &task->latency);
+        task->status_class_counts[i]);
+  mr_metrics_write_histogram (out, "relay_latency", "result=\"success\"", &task->success_latency);
 }
 
 /* Contents that have ended targets. */
@@ -147,7 +150,7 @@
 S_answer_list (const MrRelayTask *task, MrCaller *caller)
 {
   g_autoptr (GString) list = g_string_new ("{\"contents\":[");
-  mr_relay_foreach_content (task->relay, S_add_content, list);
+  mr_relay_foreach_suspect_content (task->relay, S_add_content, list);
   g_string_append (list, "]}\n");
   mr_caller_answer (caller, STATUS_OK, mr_text (json_type), mr_text_of (list));
 }
@@ -159,7 +162,7 @@
   int status = STATUS_NOT_FOUND;
   if (!mr_fingerprint_read (content, &fingerprint))
     status = STATUS_BAD_REQUEST;
-  else if (mr_relay_lift (task->relay, mr_now (), fingerprint))
+  else if (mr_relay_lift_quarantine (task->relay, mr_now (), fingerprint))
     status = STATUS_OK;
   if (status == STATUS_OK)
     mr_log (MR_LOG_NOTICE, MR_EVENT_LIFTED, "content %.*s: lifted by an operator",
@@ -198,7 +201,7 @@
 S_append_standings (GString *out, const MrRelayTask *task)
 {
   guint counts[MR_STANDING_QUARANTINED + 1] = { 0 };
-  mr_relay_foreach_content (task->relay, S_count_standing, counts);
+  mr_relay_foreach_suspect_content (task->relay, S_count_standing, counts);
   S_append (out, "relay_suspect_contents", "gauge", counts[MR_STANDING_SUSPECT]);
   S_append (out, "relay_quarantined_contents", "gauge", counts[MR_STANDING_QUARANTINED]);
 }
@@ -213,7 +216,7 @@
 static void
 S_on_metrics (MrCallerServerHost *host, MrCaller *caller, const MrHttpParser *in, MrTime began)
 {
-  const MrRelayTask *task = ((Pages *) host)->task;
+  const MrRelayTask *task = ((PageHost *) host)->task;
   (void) began;
   if (S_is_quarantine (mr_http_parser_target (in)))
     {
@@ -222,7 +225,7 @@
     }
   g_autoptr (GString) body = g_string_new (NULL);
   mr_metrics_write (body);
-  mr_traffic_write (body);
+  mr_traffic_write_metrics (body);
   S_append_relay (body, task);
   S_append_standings (body, task);
   mr_caller_answer (caller, STATUS_OK, mr_text (text_type), mr_text_of (body));
@@ -238,7 +241,7 @@
 void
 mr_relay_pages_init (MrRelayTask *task)
 {
-  task->ready_pages = (Pages){ { S_on_ready, S_on_gone }, task };
-  task->directory_pages = (Pages){ { S_on_question, S_on_gone }, task };
-  task->metrics_pages = (Pages){ { S_on_metrics, S_on_gone }, task };
+  task->ready_pages = (PageHost){ { S_on_ready, S_on_gone }, task };
+  task->directory_pages = (PageHost){ { S_on_question, S_on_gone }, task };
+  task->metrics_pages = (PageHost){ { S_on_metrics, S_on_gone }, task };
 }
--- a/src/relay_content.c
+++ b/src/relay_quarantine.c
@@ -3,7 +3,7 @@
  * A content that ends each target that begins it took 20 of 30 targets with each arrival:
  * one a shard at once, then the next of each shard in its place, then all over again for
  * its caller's repeat; a third of all searches was answered meanwhile.  Here the end of a
- * target (relay_doubt.c) is evidence only while no part of the request has been answered,
+ * target (relay_crash_check.c) is evidence only while no part of the request has been answered,
  * which clears it: a search of ten shards that meets a rack's end is cleared by its next
  * answer, some 30 ms later.  With two targets gone and no answer all that is out is called
  * back once an answer is overdue, and one part alone goes out as a trial (relay_trial.c).
@@ -24,30 +24,30 @@
   return (guint32) ((now + r->unix_offset) / MR_SECOND);
 }
 
-static Content *
+static SuspectContent *
 S_find (const MrRelay *r, MrFingerprint fingerprint)
 {
-  return g_hash_table_lookup (r->contents, &fingerprint);
+  return g_hash_table_lookup (r->suspect_contents, &fingerprint);
 }
 
-Content *
-mr_relay_content (MrRelay *r, MrFingerprint fingerprint)
+SuspectContent *
+mr_relay_get_suspect_content (MrRelay *r, MrFingerprint fingerprint)
 {
-  Content *content = S_find (r, fingerprint);
+  SuspectContent *content = S_find (r, fingerprint);
   if (content)
     return content;
-  content = g_new0 (Content, 1);
+  content = g_new0 (SuspectContent, 1);
   content->fingerprint = fingerprint;
-  g_hash_table_insert (r->contents, &content->fingerprint, content);
+  g_hash_table_insert (r->suspect_contents, &content->fingerprint, content);
   return content;
 }
 
 static void
-S_tell (MrRelay *r, Content *content)
+S_tell (MrRelay *r, SuspectContent *content)
 {
-  content->told = TRUE;
-  if (r->host->evidence)
-    r->host->evidence (r->host, content->fingerprint, &content->evidence);
+  content->published = TRUE;
+  if (r->host->publish_evidence)
+    r->host->publish_evidence (r->host, content->fingerprint, &content->evidence);
 }
 
 /* Requests for @fingerprint that have no answer yet; new. */
@@ -57,10 +57,10 @@
   GPtrArray *works = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer item = NULL;
-  g_hash_table_iter_init (&iter, r->works);
+  g_hash_table_iter_init (&iter, r->requests);
   while (g_hash_table_iter_next (&iter, &item, NULL))
     {
-      MrRelayWork *work = item;
+      MrActiveRequest *work = item;
       if (mr_fingerprint_equal (work->fingerprint, fingerprint))
         g_ptr_array_add (works, work);
     }
@@ -72,31 +72,33 @@
 /* An order that is out may have run: it is neither cancelled, since it could not be sent
  * again, nor given up. */
 static gboolean
-S_is_order_out (const MrRelayWork *work)
+S_is_order_out (const MrActiveRequest *work)
 {
-  return !work->route->repeatable && mr_relay_job_calls (&work->jobs[0]) > 0;
+  return !work->route->idempotent && mr_relay_part_call_count (&work->parts[0]) > 0;
 }
 
 /* What is known of the content has grown: requests for it that are out go on as that
  * says. */
 static void
-S_apply (MrRelay *r, MrTime now, const Content *content)
+S_apply (MrRelay *r, MrTime now, const SuspectContent *content)
 {
   MrStanding standing = mr_evidence_standing (&content->evidence, mr_relay_unix_time (r, now));
   if (standing == MR_STANDING_QUARANTINED)
-    mr_relay_note_quarantined (r, now, content);
-  if (standing != MR_STANDING_QUARANTINED && mr_evidence_ended (&content->evidence) < SUSPECT_ENDS)
+    mr_relay_content_quarantined (r, now, content);
+  if (standing != MR_STANDING_QUARANTINED &&
+      mr_evidence_crash_count (&content->evidence) < SUSPECT_ENDS)
     return;
   g_autoptr (GPtrArray) works = S_works_of (r, content->fingerprint);
   for (guint i = 0; i < works->len; i++)
     {
-      MrRelayWork *work = g_ptr_array_index (works, i);
-      if (!g_hash_table_contains (r->works, work) || work->have > 0 || S_is_order_out (work))
+      MrActiveRequest *work = g_ptr_array_index (works, i);
+      if (!g_hash_table_contains (r->requests, work) || work->answered_parts > 0 ||
+          S_is_order_out (work))
         continue;
       if (standing == MR_STANDING_QUARANTINED)
         mr_relay_give_up (r, now, work, MR_CAUSE_QUARANTINED);
       else
-        mr_relay_go_one_by_one (r, now, work);
+        mr_relay_make_sequential (r, now, work);
     }
 }
 
@@ -106,37 +108,37 @@
 {
   g_autoptr (GPtrArray) works = S_works_of (r, fingerprint);
   for (guint i = 0; i < works->len; i++)
-    if (((const MrRelayWork *) g_ptr_array_index (works, i))->have > 0)
+    if (((const MrActiveRequest *) g_ptr_array_index (works, i))->answered_parts > 0)
       return TRUE;
   return FALSE;
 }
 
 void
-mr_relay_add_evidence (MrRelay *r, MrTime now, const Doubt *doubt)
+mr_relay_add_evidence (MrRelay *r, MrTime now, const CrashCheck *doubt)
 {
   if (S_is_being_answered (r, doubt->fingerprint) ||
-      mr_answered_lately (r->answered, now, doubt->fingerprint))
+      mr_recent_answers_contain (r->recent_answers, now, doubt->fingerprint))
     {
-      r->counts.excused++;
+      r->counts.crashes_excused++;
       return;
     }
-  Content *content = mr_relay_content (r, doubt->fingerprint);
-  if (content->evidence.cleared != doubt->base.cleared)
+  SuspectContent *content = mr_relay_get_suspect_content (r, doubt->fingerprint);
+  if (content->evidence.cleared != doubt->evidence_at_send.cleared)
     return; /* it has been answered since the call was sent */
-  MrEvidenceEnd end = {
+  MrTargetCrash end = {
     .target = mr_text (doubt->target->id),
-    .base = doubt->base,
+    .evidence_at_send = doubt->evidence_at_send,
     .probation = doubt->probation,
     .unix_time = mr_relay_unix_time (r, now),
   };
-  content->evidence = mr_evidence_add (&content->evidence, &end);
-  if (doubt->work)
+  content->evidence = mr_evidence_add_crash (&content->evidence, &end);
+  if (doubt->request)
     {
-      doubt->work->suspect = TRUE;
-      doubt->work->finder = TRUE;
-      doubt->work->trial = NULL;
+      doubt->request->suspect = TRUE;
+      doubt->request->crash_seen = TRUE;
+      doubt->request->trial_part = NULL;
     }
-  if (!doubt->work || mr_evidence_ended (&content->evidence) >= SUSPECT_ENDS)
+  if (!doubt->request || mr_evidence_crash_count (&content->evidence) >= SUSPECT_ENDS)
     S_tell (r, content);
   S_apply (r, now, content);
 }
@@ -146,16 +148,16 @@
 {
   g_autoptr (GPtrArray) works = S_works_of (r, fingerprint);
   for (guint i = 0; i < works->len; i++)
-    if (g_hash_table_contains (r->works, g_ptr_array_index (works, i)))
-      mr_relay_release (r, now, g_ptr_array_index (works, i));
+    if (g_hash_table_contains (r->requests, g_ptr_array_index (works, i)))
+      mr_relay_release_held_parts (r, now, g_ptr_array_index (works, i));
 }
 
 static void
-S_clear (MrRelay *r, MrTime now, Content *content)
+S_clear (MrRelay *r, MrTime now, SuspectContent *content)
 {
-  if (!content->told)
+  if (!content->published)
     {
-      g_hash_table_remove (r->contents, &content->fingerprint);
+      g_hash_table_remove (r->suspect_contents, &content->fingerprint);
       return;
     }
   content->evidence = mr_evidence_clear (&content->evidence, mr_relay_unix_time (r, now));
@@ -166,8 +168,8 @@
 static gboolean
 S_void (MrRelay *r, MrTime now, MrFingerprint fingerprint)
 {
-  Content *content = S_find (r, fingerprint);
-  if (!content || mr_evidence_ended (&content->evidence) == 0)
+  SuspectContent *content = S_find (r, fingerprint);
+  if (!content || mr_evidence_crash_count (&content->evidence) == 0)
     return FALSE;
   S_clear (r, now, content);
   S_release_all (r, now, fingerprint);
@@ -175,34 +177,37 @@
 }
 
 void
-mr_relay_note_answered (MrRelay *r, MrTime now, MrFingerprint fingerprint)
+mr_relay_content_answered (MrRelay *r, MrTime now, MrFingerprint fingerprint)
 {
-  mr_answered_note (r->answered, now, fingerprint);
+  mr_recent_answers_record (r->recent_answers, now, fingerprint);
   S_void (r, now, fingerprint);
 }
 
 void
-mr_relay_evidence (MrRelay *r, MrTime now, MrFingerprint fingerprint, const MrEvidence *evidence)
+mr_relay_merge_evidence (MrRelay *r,
+                         MrTime now,
+                         MrFingerprint fingerprint,
+                         const MrEvidence *evidence)
 {
   if (!evidence)
     {
-      g_hash_table_remove (r->contents, &fingerprint);
+      g_hash_table_remove (r->suspect_contents, &fingerprint);
       return;
     }
-  Content *content = mr_relay_content (r, fingerprint);
-  content->told = TRUE;
-  MrEvidence joined = mr_evidence_join (&content->evidence, evidence);
+  SuspectContent *content = mr_relay_get_suspect_content (r, fingerprint);
+  content->published = TRUE;
+  MrEvidence joined = mr_evidence_merge (&content->evidence, evidence);
   if (mr_evidence_pack (&joined) == mr_evidence_pack (&content->evidence))
     return;
   gboolean cleared = joined.cleared > content->evidence.cleared;
   content->evidence = joined;
-  content->heard_at = now;
+  content->update_received_at = now;
   if (cleared)
     S_release_all (r, now, fingerprint);
-  else if (mr_answered_lately (r->answered, now, fingerprint))
+  else if (mr_recent_answers_contain (r->recent_answers, now, fingerprint))
     {
       /* Who lost targets under it may not have seen its answers. */
-      r->counts.excused++;
+      r->counts.crashes_excused++;
       S_void (r, now, fingerprint);
     }
   else
@@ -210,62 +215,66 @@
 }
 
 gboolean
-mr_relay_lift (MrRelay *r, MrTime now, MrFingerprint fingerprint)
+mr_relay_lift_quarantine (MrRelay *r, MrTime now, MrFingerprint fingerprint)
 {
   return S_void (r, now, fingerprint);
 }
 
 void
-mr_relay_foreach_content (const MrRelay *r,
-                          void (*visit) (MrFingerprint fingerprint,
-                                         const MrEvidence *evidence,
-                                         void *user),
-                          void *user)
+mr_relay_foreach_suspect_content (const MrRelay *r,
+                                  void (*visit) (MrFingerprint fingerprint,
+                                                 const MrEvidence *evidence,
+                                                 void *user),
+                                  void *user)
 {
   GHashTableIter iter;
   gpointer item = NULL;
-  g_hash_table_iter_init (&iter, r->contents);
+  g_hash_table_iter_init (&iter, r->suspect_contents);
   while (g_hash_table_iter_next (&iter, NULL, &item))
-    visit (((const Content *) item)->fingerprint, &((const Content *) item)->evidence, user);
+    visit (((const SuspectContent *) item)->fingerprint, &((const SuspectContent *) item)->evidence,
+           user);
 }
 
 MrCause
-mr_relay_admit_content (MrRelay *r, MrTime now, MrRelayWork *work)
+mr_relay_admit_content (MrRelay *r, MrTime now, MrActiveRequest *work)
 {
-  const Content *content = S_find (r, work->fingerprint);
+  const SuspectContent *content = S_find (r, work->fingerprint);
   guint32 unix_time = mr_relay_unix_time (r, now);
   if (!content || !mr_fingerprint_is_set (work->fingerprint))
     return MR_CAUSE_NONE;
-  work->base = content->evidence;
+  work->evidence_at_send = content->evidence;
   MrStanding standing = mr_evidence_standing (&content->evidence, unix_time);
   if (standing == MR_STANDING_CLEAR)
     return MR_CAUSE_NONE;
   if (standing == MR_STANDING_QUARANTINED)
     {
       /* Callers hear at once that it has not run; each target that it reached would end. */
-      if (!mr_evidence_on_probation (&content->evidence, unix_time) || content->trials > 0 ||
-          mr_relay_is_anothers (r, content))
+      if (!mr_evidence_is_probation_due (&content->evidence, unix_time) || content->trials > 0 ||
+          mr_relay_is_other_daemons_turn (r, content))
         return MR_CAUSE_QUARANTINED;
       work->probation = TRUE;
     }
   work->suspect = TRUE;
-  work->one_by_one = TRUE;
-  work->trial_at = MAX (now, content->heard_at > 0 ? content->heard_at + MR_TRIAL_GAP : now);
+  work->sequential = TRUE;
+  work->next_trial_at = MAX (
+      now, content->update_received_at > 0 ? content->update_received_at + MR_TRIAL_INTERVAL : now);
   return MR_CAUSE_NONE;
 }
 
 void
-mr_relay_leave_content (MrRelay *r, MrRelayWork *work)
+mr_relay_detach_content (MrRelay *r, MrActiveRequest *work)
 {
-  mr_relay_leave_doubts (r, work);
-  Content *content = S_find (r, work->fingerprint);
+  mr_relay_detach_crash_checks (r, work);
+  SuspectContent *content = S_find (r, work->fingerprint);
   if (!content)
     return;
-  if (work->trying && content->trials > 0)
+  if (work->counted_as_trial && content->trials > 0)
     content->trials--;
   /* Without an answer the next attempt may come to any daemon. */
-  if (work->have == 0 && mr_evidence_ended (&content->evidence) > 0 && !content->told)
+  if (work->answered_parts == 0 && mr_evidence_crash_count (&content->evidence) > 0 &&
+      !content->published)
     S_tell (r, content);
-  if (!content->told && mr_evidence_ended (&content->evidence) == 0 && content->trials == 0)
-    g_hash_table_remove (r->contents, &content->fingerprint);
+  if (!content->published && mr_evidence_crash_count (&content->evidence) == 0 &&
+      content->trials == 0)
+    g_hash_table_remove (r->suspect_contents, &content->fingerprint);
 }
--- a/src/relay_request.c
+++ b/src/relay_request.c
@@ -26,7 +26,7 @@
 {
   MrRelayTask *task;
   MrCaller *caller; /* NULL once it has gone */
-  MrRelayWork *work;
+  MrActiveRequest *work;
   MrConfiguration *configuration;
   const MrRoute *route;
   MrTime began;
@@ -107,14 +107,14 @@
     mr_http_parser_target (in),
     mr_http_parser_body (in),
   };
-  return mr_fingerprint (texts, G_N_ELEMENTS (texts), task->content_key);
+  return mr_fingerprint_compute (texts, G_N_ELEMENTS (texts), task->content_key);
 }
 
 static void
 S_on_call (MrRelayHost *host, const MrRelayCall *call)
 {
   MrRelayTask *task = RELAY_TASK_OF (host, relay_host);
-  const Request *request = call->request;
+  const Request *request = call->host_request;
   MrTime now = mr_now ();
   /* Never more than what is left, rounded down: a target that is told too much
    * works on for a caller who has gone. */
@@ -124,7 +124,7 @@
   g_string_append_printf (bytes, "%s: %" G_GINT64_FORMAT "\r\n%s: %s\r\n",
                           task->dialect->remaining_ms, left, task->dialect->expected_id,
                           call->target->id);
-  if (request->body->len > 0 || !call->repeatable)
+  if (request->body->len > 0 || !call->idempotent)
     g_string_append_printf (bytes, "Content-Length: %zu\r\n", request->body->len);
   g_string_append (bytes, "\r\n");
   g_string_append_len (bytes, request->body->str, (gssize) request->body->len);
@@ -134,7 +134,7 @@
     .bytes = mr_text_of (bytes),
     .request_id = mr_text (request->id),
     .bodiless = request->bodiless,
-    .repeatable = call->repeatable,
+    .idempotent = call->idempotent,
     .part = request->route->kind == MR_ROUTE_SHARDS,
   };
   mr_target_client_call (task->client, now, &out);
@@ -186,9 +186,9 @@
   guint64 turn = (guint64) (g_get_real_time () / PROBE_TURN);
   const char *best = "";
   guint64 best_score = 0;
-  for (guint i = 0; task->plan.entries && i < task->plan.entries->len; i++)
+  for (guint i = 0; task->entry_plan.entries && i < task->entry_plan.entries->len; i++)
     {
-      const MrMember *member = g_ptr_array_index (task->plan.entries, i);
+      const MrMember *member = g_ptr_array_index (task->entry_plan.entries, i);
       guint64 score = XXH64 (member->name, strlen (member->name), fingerprint.low + turn);
       if (score <= best_score)
         continue;
@@ -223,7 +223,7 @@
 static void
 S_answer (MrRelayTask *task, MrCaller *caller, int status, MrText fields, MrText body)
 {
-  task->statuses[CLAMP (status / 100, 0, 5)]++;
+  task->status_class_counts[CLAMP (status / 100, 0, 5)]++;
   mr_caller_answer (caller, status, fields, body);
 }
 
@@ -269,7 +269,7 @@
                               signature.data);
       parts[count++] = mr_http_parser_body (answer);
     }
-  g_string_append_printf (fields, "\r\n%s: %u\r\n", dialect->missing_parts, result->missing);
+  g_string_append_printf (fields, "\r\n%s: %u\r\n", dialect->missing_parts, result->missing_parts);
   g_autoptr (GString) body = mr_merge_records (parts, count, request->route->top_records);
   S_answer (request->task, request->caller, STATUS_OK, mr_text_of (fields), mr_text_of (body));
 }
@@ -308,8 +308,8 @@
       break;
     case MR_VERDICT_MERGE:
       S_answer_merged (request, result);
-      if (result->due != 0)
-        mr_relay_note_finish (task->relay, mr_now () - result->due);
+      if (result->soft_deadline != 0)
+        mr_relay_record_response_overhead (task->relay, mr_now () - result->soft_deadline);
       break;
     case MR_VERDICT_REFUSED:
     case MR_VERDICT_FAILED:
@@ -319,15 +319,15 @@
       break;
     }
   if (status < 300)
-    mr_histogram_add (&task->latency, now - request->began);
-  MrRelayLine line = {
+    mr_histogram_add (&task->success_latency, now - request->began);
+  MrRequestLogInfo line = {
     .id = request->id,
     .fingerprint = request->fingerprint,
     .route = request->route,
     .version = mr_configuration_version (request->configuration),
     .status = status,
     .took = now - request->began,
-    .left = request->deadline - now,
+    .time_left = request->deadline - now,
   };
   mr_relay_log_result (task, &line, result);
   S_request_free (request);
@@ -364,7 +364,7 @@
 S_begin (MrRelayTask *task, MrCaller *caller, const MrHttpParser *in, MrTime began, MrTime arrived)
 {
   MrConfiguration *configuration = task->view->configuration;
-  const MrRoute *route = mr_configuration_match (
+  const MrRoute *route = mr_configuration_find_route (
       configuration, mr_http_parser_find (in, "Host", NULL), mr_http_parser_target (in));
   if (!route)
     {
@@ -387,8 +387,8 @@
     .body = g_string_new_len (body.data, (gssize) body.len),
   };
   mr_caller_set_user (caller, request);
-  MrRelayRequest submitted = {
-    .request = request,
+  MrRelayRequestParams submitted = {
+    .host_request = request,
     .configuration = configuration,
     .route = route,
     .arrived = arrived,
@@ -396,7 +396,7 @@
     .round_trip = mr_caller_round_trip (caller),
     .fingerprint = request->fingerprint,
   };
-  MrRelayWork *work = mr_relay_submit (task->relay, mr_now (), &submitted);
+  MrActiveRequest *work = mr_relay_submit (task->relay, mr_now (), &submitted);
   if (work)
     request->work = work;
 }
@@ -406,34 +406,36 @@
 {
   MrRelayTask *task = RELAY_TASK_OF (host, caller_host);
   MrTime now = mr_now ();
-  MrWaitingRequest early = { .caller = caller, .request = in, .began = began, .came = now };
+  MrQueuedRequest early = {
+    .caller = caller, .request = in, .first_byte_at = began, .received_at = now
+  };
   /* Without a configuration nobody can tell an unknown route from a known one. */
   if (mr_relay_task_ready (task))
     S_begin (task, caller, in, began, 0);
-  else if (mr_start_queue_add (task->early, now, &early))
-    task->early_count++;
+  else if (mr_startup_queue_push (task->early_requests, now, &early))
+    task->early_request_count++;
   else
     S_refuse_not_ready (task, caller, in);
 }
 
 void
-mr_relay_request_release (MrRelayTask *task, MrTime now, MrTime *next)
+mr_relay_request_flush_early (MrRelayTask *task, MrTime now, MrTime *next)
 {
   gboolean ready = mr_relay_task_ready (task);
-  guint count = mr_start_queue_length (task->early);
-  MrWaitingRequest early;
+  guint count = mr_startup_queue_length (task->early_requests);
+  MrQueuedRequest early;
   if (count == 0)
     return;
-  if (!ready && now < mr_start_queue_due (task->early))
+  if (!ready && now < mr_startup_queue_deadline (task->early_requests))
     {
-      *next = MIN (*next, mr_start_queue_due (task->early));
+      *next = MIN (*next, mr_startup_queue_deadline (task->early_requests));
       return;
     }
   mr_log (MR_LOG_NOTICE, MR_EVENT_EARLY_REQUESTS, "%u requests that came before this was ready: %s",
           count, ready ? "begun" : "refused, neither the store nor a peer has answered");
-  while (mr_start_queue_take (task->early, &early))
+  while (mr_startup_queue_pop (task->early_requests, &early))
     if (ready)
-      S_begin (task, early.caller, early.request, early.began, early.came);
+      S_begin (task, early.caller, early.request, early.first_byte_at, early.received_at);
     else
       S_refuse_not_ready (task, early.caller, early.request);
 }
@@ -443,7 +445,7 @@
 {
   MrRelayTask *task = RELAY_TASK_OF (host, caller_host);
   Request *request = mr_caller_user (caller);
-  if (mr_start_queue_remove (task->early, caller) || !request || !request->work)
+  if (mr_startup_queue_remove (task->early_requests, caller) || !request || !request->work)
     return;
   MrTime now = mr_now ();
   MrLogLine *line = mr_log_begin (MR_LOG_INFO, MR_EVENT_CALLER_GONE);
@@ -451,7 +453,7 @@
   mr_log_text (line, "route", mr_text (request->route->name));
   mr_log_number (line, "after_us", now - request->began);
   mr_log_end (line);
-  mr_relay_forget (task->relay, now, request->work);
+  mr_relay_abandon_request (task->relay, now, request->work);
   S_request_free (request);
 }
 
@@ -461,14 +463,14 @@
   task->caller_host = (MrCallerServerHost){ .request = S_on_request, .gone = S_on_gone };
   task->client_host = (MrTargetClientHost){ .ended = S_on_call_ended, .probed = S_on_probed };
   task->relay_host = (MrRelayHost){
-    .call = S_on_call,
-    .drop = S_on_drop,
-    .take_back = S_on_take_back,
+    .send_call = S_on_call,
+    .close_call = S_on_drop,
+    .withdraw_call = S_on_take_back,
     .probe = S_on_probe,
-    .renew = S_on_renew,
-    .done = S_on_done,
+    .reconnect = S_on_renew,
+    .request_done = S_on_done,
     .free_answer = S_free_answer,
-    .evidence = S_on_evidence,
-    .may_probe = S_may_probe,
+    .publish_evidence = S_on_evidence,
+    .may_try_content = S_may_probe,
   };
 }
--- a/src/relay_stage.c
+++ b/src/relay_stage.c
@@ -16,7 +16,7 @@
 };
 
 void
-mr_relay_note_quarantined (MrRelay *r, MrTime now, const Content *content)
+mr_relay_content_quarantined (MrRelay *r, MrTime now, const SuspectContent *content)
 {
   guint32 unix_time = mr_relay_unix_time (r, now);
   guint32 age = unix_time - MIN (content->evidence.at, unix_time);
@@ -31,27 +31,27 @@
 }
 
 gboolean
-mr_relay_is_staged (const MrRelay *r, MrTime now, const MrRelayWork *work)
+mr_relay_is_staged (const MrRelay *r, MrTime now, const MrActiveRequest *work)
 {
   return now < r->staged_until && work->route->kind == MR_ROUTE_SHARDS && work->part_count > 1 &&
          mr_fingerprint_is_set (work->fingerprint) && MR_SAFEGUARD (MR_GUARD_QUARANTINE) &&
-         !mr_answered_lately (r->answered, now, work->fingerprint);
+         !mr_recent_answers_contain (r->recent_answers, now, work->fingerprint);
 }
 
 void
-mr_relay_begin_staged (MrRelay *r, MrTime now, MrRelayWork *work)
+mr_relay_begin_first_stage (MrRelay *r, MrTime now, MrActiveRequest *work)
 {
   r->counts.staged++;
   work->staged = TRUE;
   for (guint i = 0; i < work->part_count; i++)
-    mr_relay_hold (&work->jobs[i]);
-  mr_relay_begin_job (r, now, mr_relay_take_held (work, now));
+    mr_relay_hold_part (&work->parts[i]);
+  mr_relay_begin_part (r, now, mr_relay_take_held_part (work, now));
 }
 
 void
-mr_relay_end_stage (MrRelay *r, MrTime now, MrRelayWork *work)
+mr_relay_end_first_stage (MrRelay *r, MrTime now, MrActiveRequest *work)
 {
   if (!work->staged || mr_relay_is_suspicious (work))
     return;
-  mr_relay_release (r, now, work);
+  mr_relay_release_held_parts (r, now, work);
 }
--- a/src/relay_targets.c
+++ b/src/relay_targets.c
@@ -16,23 +16,23 @@
 static void
 S_log_probe (const MrTargetState *target, MrTime now)
 {
-  g_autofree char *heard = target->health.answered_at == 0
+  g_autofree char *heard = target->health.last_response_at == 0
                                ? g_strdup ("no answer yet")
                                : g_strdup_printf ("last answer %" G_GINT64_FORMAT " ms ago",
-                                                  (now - target->health.answered_at) / MR_MS);
+                                                  (now - target->health.last_response_at) / MR_MS);
   mr_log (MR_LOG_NOTICE, MR_EVENT_TARGET_SUSPECT, "target %s (%s) is probed, state %s, %s",
-          target->id, target->key, mr_health_name (target->health.state), heard);
+          target->id, target->key, mr_health_state_name (target->health.state), heard);
 }
 
 /* Only where it matters to the target: elsewhere it would be passed over for nothing. */
 void
 mr_relay_assume_cold (MrTargetState *target, MrTime now)
 {
-  if (target->cold_permits == MR_COLD_UNBOUNDED)
+  if (target->cold_permits == MR_COLD_UNLIMITED)
     return;
   for (guint i = 0; i < target->sets->len; i++)
-    mr_target_state_set_cold (target, now,
-                              ((const Service *) g_ptr_array_index (target->sets, i))->cold_time);
+    mr_target_state_set_cold (
+        target, now, ((const TargetGroup *) g_ptr_array_index (target->sets, i))->cold_time);
 }
 
 /* Carries out what a target's health asks for. */
@@ -41,42 +41,42 @@
 {
   switch (action)
     {
-    case MR_HEALTH_PROBE:
+    case MR_HEALTH_ACTION_PROBE:
       S_log_probe (target, now);
       r->host->probe (r->host, target);
       break;
-    case MR_HEALTH_RENEW:
-      r->host->renew (r->host, target);
+    case MR_HEALTH_ACTION_RECONNECT:
+      r->host->reconnect (r->host, target);
       break;
-    case MR_HEALTH_COLD:
-      mr_limit_on_cold (&target->limit);
+    case MR_HEALTH_ACTION_SLOW_START:
+      mr_concurrency_limit_slow_start (&target->limit);
       mr_relay_assume_cold (target, now);
       mr_log (MR_LOG_NOTICE, MR_EVENT_TARGET_UP, "target %s (%s) is back", target->id, target->key);
       break;
-    case MR_HEALTH_NOTHING:
+    case MR_HEALTH_ACTION_NONE:
       break;
     }
 }
 
 void
-mr_relay_act (MrRelay *r, MrTime now, MrTargetState *target, MrHealthAction action)
+mr_relay_apply_health_action (MrRelay *r, MrTime now, MrTargetState *target, MrHealthAction action)
 {
   S_carry_out (r, target, now, action);
-  r->some_down |= target->health.state == MR_HEALTH_DOWN;
+  r->any_target_down |= target->health.state == MR_HEALTH_DOWN;
   if (mr_target_state_usable (target))
     {
-      mr_relay_pump_target (r, now, target);
+      mr_relay_send_queued_to (r, now, target);
       return;
     }
   /* Jobs that waited for this target alone have nothing to wait for. */
   for (guint i = 0; i < target->sets->len; i++)
-    mr_relay_pump (r, now, g_ptr_array_index (target->sets, i));
+    mr_relay_send_queued (r, now, g_ptr_array_index (target->sets, i));
 }
 
 static const char *
 S_name (const MrRelay *r, const MrTargetState *state)
 {
-  return r->policy->by_address ? state->key : state->id;
+  return r->policy->key_by_address ? state->key : state->id;
 }
 
 /* Ends new work at @state, which no name leads to from now on.  Returns the sets that
@@ -88,17 +88,17 @@
   if (state->health.state != MR_HEALTH_LEAVING)
     state->withdrawn_at = now;
   mr_health_on_leaving (&state->health, now);
-  state->health.leaving_at = now;
+  state->health.leaving_since = now;
   g_hash_table_remove (r->targets, S_name (r, state));
-  r->host->renew (r->host, state);
+  r->host->reconnect (r->host, state);
   for (guint i = 0; i < state->sets->len; i++)
     {
-      Service *service = g_ptr_array_index (state->sets, i);
+      TargetGroup *service = g_ptr_array_index (state->sets, i);
       g_ptr_array_remove (service->targets, state);
       g_ptr_array_add (sets, service);
     }
   g_ptr_array_set_size (state->sets, 0);
-  g_ptr_array_add (r->retired, state);
+  g_ptr_array_add (r->removed_targets, state);
   return sets;
 }
 
@@ -106,7 +106,7 @@
 S_pump_sets (MrRelay *r, MrTime now, const GPtrArray *sets)
 {
   for (guint i = 0; i < sets->len; i++)
-    mr_relay_pump (r, now, g_ptr_array_index (sets, i));
+    mr_relay_send_queued (r, now, g_ptr_array_index (sets, i));
 }
 
 /* The calls that are out to a process that has ended get no answer any more: they
@@ -115,10 +115,11 @@
 static void
 S_lose_calls (MrRelay *r, MrTime now, MrTargetState *state)
 {
-  for (Call *call = g_queue_peek_head (&state->open); call; call = g_queue_peek_head (&state->open))
+  for (Call *call = g_queue_peek_head (&state->open_calls); call;
+       call = g_queue_peek_head (&state->open_calls))
     {
-      if (r->host->drop)
-        r->host->drop (r->host, call->id);
+      if (r->host->close_call)
+        r->host->close_call (r->host, call->id);
       mr_relay_call_end (r, now, call->id, MR_CALL_BROKEN, NULL);
     }
 }
@@ -137,7 +138,7 @@
 S_is_replaced (const MrRelay *r, const MrTargetState *state, const MrTarget *target)
 {
   g_autofree char *key = S_address (target);
-  return !r->policy->by_address &&
+  return !r->policy->key_by_address &&
          (state->started != target->started || !g_str_equal (state->key, key));
 }
 
@@ -148,14 +149,14 @@
           "target %s (%s) has started again, at %" G_GUINT64_FORMAT " after %" G_GUINT64_FORMAT
           ", on %s:%d: %u calls are lost",
           state->id, state->key, next->started, state->started, next->ip, next->port,
-          state->open.length);
+          state->open_calls.length);
 }
 
 static MrTargetState *
 S_find_target (const MrRelay *r, const MrTarget *target)
 {
   g_autofree char *key = S_address (target);
-  return g_hash_table_lookup (r->targets, r->policy->by_address ? key : target->id);
+  return g_hash_table_lookup (r->targets, r->policy->key_by_address ? key : target->id);
 }
 
 static MrTargetState *
@@ -177,7 +178,7 @@
   mr_log (MR_LOG_NOTICE, MR_EVENT_TARGET_LEAVING, "target %s (%s) leaves: listed as leaving",
           state->id, state->key);
   mr_health_on_leaving (&state->health, now);
-  mr_relay_act (r, now, state, MR_HEALTH_NOTHING);
+  mr_relay_apply_health_action (r, now, state, MR_HEALTH_ACTION_NONE);
 }
 
 /* Its entry may name another failure domain than before. */
@@ -194,12 +195,12 @@
 }
 
 MrTargetState *
-mr_relay_target (MrRelay *r,
-                 MrTime now,
-                 const char *set,
-                 const MrTarget *target,
-                 gboolean leaving,
-                 MrTime cold_for)
+mr_relay_update_target (MrRelay *r,
+                        MrTime now,
+                        const char *set,
+                        const MrTarget *target,
+                        gboolean leaving,
+                        MrTime cold_for)
 {
   MrTargetState *state = S_find_target (r, target);
   MrTargetState *ended = NULL;
@@ -215,16 +216,16 @@
     state = S_add_target (r, set, target, cold_for);
   S_set_domain (r, state, target->domain);
   mr_target_state_set_cold (state, now, cold_for);
-  Service *service = mr_relay_service (r, set);
+  TargetGroup *service = mr_relay_get_group (r, set);
   if (!g_ptr_array_find (state->sets, service, NULL))
     {
       g_ptr_array_add (state->sets, service);
       g_ptr_array_add (service->targets, state);
-      service->capped_share = NOT_CAPPED;
+      service->limits_connection_share = LIMITS_UNSET;
     }
   if (leaving)
     S_list_as_leaving (r, now, state);
-  mr_relay_pump (r, now, service);
+  mr_relay_send_queued (r, now, service);
   /* Only now: requests that waited for the old process, a shard's only target, would
    * be refused while there is none. */
   if (ended)
@@ -236,17 +237,17 @@
 }
 
 void
-mr_relay_target_leaving (MrRelay *r, MrTime now, const char *name, gboolean leaving)
+mr_relay_set_target_leaving (MrRelay *r, MrTime now, const char *name, gboolean leaving)
 {
   MrTargetState *state = g_hash_table_lookup (r->targets, name);
   if (state && leaving)
     S_list_as_leaving (r, now, state);
   else if (state)
-    mr_relay_act (r, now, state, mr_health_on_live (&state->health, now));
+    mr_relay_apply_health_action (r, now, state, mr_health_on_live (&state->health, now));
 }
 
 void
-mr_relay_target_gone (MrRelay *r, MrTime now, const char *name)
+mr_relay_remove_target (MrRelay *r, MrTime now, const char *name)
 {
   MrTargetState *state = g_hash_table_lookup (r->targets, name);
   if (!state)
@@ -263,29 +264,29 @@
   MrTargetState *target = g_hash_table_lookup (r->targets, id);
   if (!target)
     return;
-  MrHealthAction action = mr_target_state_probed (target, now, answered);
-  mr_relay_note_probed (r, now, target, answered);
-  mr_relay_act (r, now, target, action);
+  MrHealthAction action = mr_target_state_on_probe_result (target, now, answered);
+  mr_relay_record_probe (r, now, target, answered);
+  mr_relay_apply_health_action (r, now, target, action);
 }
 
 void
-mr_relay_note_latency (Kind *kind, MrTargetState *target, MrTime latency)
+mr_relay_record_latency (RouteStats *kind, MrTargetState *target, MrTime latency)
 {
   mr_target_state_add_latency (target, latency);
-  mr_target_state_add_relative (target, latency, kind->usual);
+  mr_target_state_add_relative_latency (target, latency, kind->median);
   kind->mean += MEAN_WEIGHT * ((double) latency - kind->mean);
   mr_histogram_add (&kind->latency, latency);
-  if (kind->latency.total >= SAMPLES_DECAY)
+  if (kind->latency.count >= SAMPLES_DECAY)
     mr_histogram_decay (&kind->latency);
-  if (kind->latency.total % SAMPLES_READ == 0)
+  if (kind->latency.count % SAMPLES_READ == 0)
     {
-      kind->unloaded *= UNLOADED_DRIFT;
-      mr_relay_measure (kind);
+      kind->lowest_median *= UNLOADED_DRIFT;
+      mr_relay_update_stats (kind);
     }
 }
 
 MrHealthAction
-mr_relay_note_target (
+mr_relay_record_outcome (
     MrRelay *r, MrTime now, MrTargetState *target, MrCallOutcome outcome, MrTime started)
 {
   /* These say nothing of how well it works. */
@@ -295,36 +296,36 @@
   switch (outcome)
     {
     case MR_CALL_ANSWER:
-      mr_limit_on_success (&target->limit);
-      return mr_health_on_answer (&target->health, now);
+      mr_concurrency_limit_on_success (&target->limit);
+      return mr_health_on_success (&target->health, now);
     case MR_CALL_SHED:
       target->shed++;
-      mr_limit_on_shed (&target->limit, now);
-      mr_health_on_word (&target->health, now);
-      return MR_HEALTH_NOTHING;
+      mr_concurrency_limit_on_shed (&target->limit, now);
+      mr_health_on_response (&target->health, now);
+      return MR_HEALTH_ACTION_NONE;
     case MR_CALL_DRAINING:
     case MR_CALL_MISDIRECTED:
       mr_log (MR_LOG_NOTICE, MR_EVENT_TARGET_LEAVING, "target %s (%s) leaves: its answer was %s",
               target->id, target->key, mr_call_outcome_name (outcome));
       mr_health_on_leaving (&target->health, now);
-      r->host->renew (r->host, target);
-      return MR_HEALTH_NOTHING;
+      r->host->reconnect (r->host, target);
+      return MR_HEALTH_ACTION_NONE;
     case MR_CALL_ERROR:
       mr_health_on_failure (&target->health, now);
-      return MR_HEALTH_NOTHING;
+      return MR_HEALTH_ACTION_NONE;
     case MR_CALL_NOT_CONNECTED:
     case MR_CALL_BROKEN:
-      return mr_health_on_break (&target->health, now);
+      return mr_health_on_connection_error (&target->health, now);
     case MR_CALL_SILENT:
-      return mr_health_on_lost (&target->health, started, now);
+      return mr_health_on_connection_lost (&target->health, started, now);
     case MR_CALL_NO_SNAPSHOT:
     case MR_CALL_CANCELLED:
-      mr_health_on_word (&target->health, now);
-      return MR_HEALTH_NOTHING;
+      mr_health_on_response (&target->health, now);
+      return MR_HEALTH_ACTION_NONE;
     case MR_CALL_WITHDRAWN:
-      return MR_HEALTH_NOTHING;
+      return MR_HEALTH_ACTION_NONE;
     }
-  return MR_HEALTH_NOTHING;
+  return MR_HEALTH_ACTION_NONE;
 }
 
 static void
@@ -336,7 +337,7 @@
 }
 
 guint
-mr_relay_usable_targets (const MrRelay *r)
+mr_relay_usable_target_count (const MrRelay *r)
 {
   guint count = 0;
   mr_relay_foreach_target (r, S_count_usable, &count);
--- a/src/relay_task.c
+++ b/src/relay_task.c
@@ -29,15 +29,15 @@
     {
       const MrTargetChange *change = g_ptr_array_index (changes, i);
       if (!change->record)
-        mr_relay_target_gone (task->relay, now, change->id);
+        mr_relay_remove_target (task->relay, now, change->id);
     }
   for (guint i = 0; i < changes->len; i++)
     {
       const MrTargetRecord *record =
           ((const MrTargetChange *) g_ptr_array_index (changes, i))->record;
       if (record)
-        mr_relay_target (task->relay, now, record->service, &record->target, record->leaving,
-                         record->cold_for);
+        mr_relay_update_target (task->relay, now, record->service, &record->target, record->leaving,
+                                record->cold_for);
     }
 }
 
@@ -51,16 +51,17 @@
           "configuration %" G_GUINT64_FORMAT " is in force here, after %" G_GUINT64_FORMAT,
           mr_configuration_version (view->configuration),
           before ? mr_configuration_version (before) : 0);
-  mr_caller_server_set_limits (task->callers, mr_configuration_limits (view->configuration));
+  mr_caller_server_set_limits (task->caller_server, mr_configuration_limits (view->configuration));
 }
 
 static void
 S_announce (MrRelayTask *task)
 {
   gboolean ready = mr_relay_task_ready (task);
-  if ((ready == task->announced && task->load == task->announced_load) || task->stop_at != 0)
+  if ((ready == task->announced_ready && task->load == task->announced_load) ||
+      task->stop_began != 0)
     return;
-  task->announced = ready;
+  task->announced_ready = ready;
   task->announced_load = task->load;
   MrSelfMessage *message = mr_self_message_new (MR_MEMBER_ALIVE, !ready);
   message->load = task->load;
@@ -71,10 +72,10 @@
 S_set_shares (MrRelayTask *task, MrTime now)
 {
   MrRelayShares shares = {
-    .connections = task->plan.connections,
-    .slots = task->plan.slots,
-    .allowance = task->plan.allowance,
-    .cold = mr_cold_share_update (task->cold, now, task->roster, &task->plan),
+    .connections = task->entry_plan.connections,
+    .slots = task->entry_plan.slots,
+    .allowance = task->entry_plan.allowance,
+    .cold = mr_cold_share_update (task->cold_share, now, task->roster, &task->entry_plan),
   };
   mr_relay_set_shares (task->relay, &shares);
 }
@@ -82,14 +83,14 @@
 static void
 S_take_members (MrRelayTask *task, MrTime now, const GArray *members)
 {
-  mr_entry_plan_clear (&task->plan);
+  mr_entry_plan_clear (&task->entry_plan);
   for (guint i = 0; i < members->len; i++)
     {
       const MrMember *member = &g_array_index (members, MrMember, i);
       mr_roster_put (task->roster, member);
-      mr_cold_share_note (task->cold, now, member);
+      mr_cold_share_on_member (task->cold_share, now, member);
     }
-  task->plan = mr_entry_plan (task->roster, task->settings->base.name);
+  task->entry_plan = mr_entry_plan (task->roster, task->settings->base.name);
   S_set_shares (task, now);
 }
 
@@ -107,7 +108,7 @@
 {
   MrTime now = mr_now ();
   S_take_configuration (task, view);
-  mr_relay_set_evacuated (task->relay, now, view->evacuated);
+  mr_relay_set_evacuated (task->relay, now, view->evacuated_domains);
   mr_view_unref (task->view);
   task->view = mr_view_ref (view);
   S_announce (task);
@@ -118,25 +119,25 @@
 static void
 S_on_stop (MrRelayTask *task)
 {
-  if (task->stop_at != 0)
+  if (task->stop_began != 0)
     return;
-  task->stop_at = mr_now ();
+  task->stop_began = mr_now ();
   mr_log (MR_LOG_NOTICE, MR_EVENT_STOPPING, "planned stop: %u requests open, %u callers connected",
-          mr_relay_open (task->relay), mr_caller_server_connections (task->callers));
-  mr_caller_server_drain (task->callers);
+          mr_relay_request_count (task->relay), mr_caller_server_connections (task->caller_server));
+  mr_caller_server_drain (task->caller_server);
   mr_mailbox_post (task->control, &mr_self_message_new (MR_MEMBER_LEAVING, TRUE)->base);
 }
 
 static void
 S_tick_stop (MrRelayTask *task, MrTime now, MrTime *next)
 {
-  if (task->stop_at == 0 || task->stopped)
+  if (task->stop_began == 0 || task->stopped)
     return;
-  MrTime end = task->stop_at + task->settings->grace_ms * MR_MS;
+  MrTime end = task->stop_began + task->settings->grace_ms * MR_MS;
   if (now >= end - FINISH_TIME)
     {
-      mr_caller_server_close (task->callers);
-      if (mr_caller_server_connections (task->callers) == 0 || now >= end - EXIT_TIME)
+      mr_caller_server_close (task->caller_server);
+      if (mr_caller_server_connections (task->caller_server) == 0 || now >= end - EXIT_TIME)
         {
           task->stopped = TRUE;
           task->on_stopped (task->user);
@@ -152,14 +153,14 @@
 static void
 S_measure_load (MrRelayTask *task, MrTime now, MrTime *next)
 {
-  if (now < task->load_at)
+  if (now < task->next_load_at)
     {
-      *next = MIN (*next, task->load_at);
+      *next = MIN (*next, task->next_load_at);
       return;
     }
   guint64 calls = mr_relay_counts (task->relay)->calls;
-  double seconds = (double) (now - task->load_at + LOAD_GAP) / (double) MR_SECOND;
-  double load = (double) (calls - task->load_calls) * CALL_COST / seconds;
+  double seconds = (double) (now - task->next_load_at + LOAD_GAP) / (double) MR_SECOND;
+  double load = (double) (calls - task->calls_at_last_load) * CALL_COST / seconds;
   guint32 step = LOAD_STEP;
   while (step < load)
     step *= 2;
@@ -167,20 +168,20 @@
     step = 0;
   if (step > task->load || load < task->load * LOAD_DOWN)
     task->load = step;
-  task->load_calls = calls;
-  task->load_at = now + LOAD_GAP;
-  *next = MIN (*next, task->load_at);
+  task->calls_at_last_load = calls;
+  task->next_load_at = now + LOAD_GAP;
+  *next = MIN (*next, task->next_load_at);
   S_announce (task);
   /* A part of what cold targets bear comes with time, without news of members. */
-  if (task->plan.entries)
+  if (task->entry_plan.entries)
     S_set_shares (task, now);
 }
 
 static void
 S_on_evidence (MrRelayTask *task, const MrEvidenceMessage *message)
 {
-  mr_relay_evidence (task->relay, mr_now (), message->fingerprint,
-                     message->forget ? NULL : &message->evidence);
+  mr_relay_merge_evidence (task->relay, mr_now (), message->fingerprint,
+                           message->forget ? NULL : &message->evidence);
 }
 
 static void
@@ -202,13 +203,13 @@
 S_on_tick (MrLoopHost *host, MrTime now)
 {
   MrRelayTask *task = (MrRelayTask *) host;
-  MrTime next = mr_caller_server_tick (task->callers, now);
+  MrTime next = mr_caller_server_tick (task->caller_server, now);
   next = MIN (next, mr_caller_server_tick (task->ready_server, now));
-  next = MIN (next, mr_caller_server_tick (task->directory, now));
-  if (task->metrics)
-    next = MIN (next, mr_caller_server_tick (task->metrics, now));
+  next = MIN (next, mr_caller_server_tick (task->directory_server, now));
+  if (task->metrics_server)
+    next = MIN (next, mr_caller_server_tick (task->metrics_server, now));
   next = MIN (next, mr_target_client_tick (task->client, now));
-  mr_relay_request_release (task, now, &next);
+  mr_relay_request_flush_early (task, now, &next);
   next = MIN (next, mr_relay_tick (task->relay, now));
   S_measure_load (task, now, &next);
   S_tick_stop (task, now, &next);
@@ -222,21 +223,21 @@
 {
   const MrRelaySettings *settings = task->settings;
   const char *ip = settings->base.ip;
-  task->callers =
+  task->caller_server =
       mr_caller_server_new (&task->caller_host, task->loop, ip, settings->base.http_port);
-  if (task->callers)
+  if (task->caller_server)
     task->ready_server =
         mr_caller_server_new (&task->ready_pages.host, task->loop, ip, settings->ready_port);
   if (task->ready_server)
-    task->directory = mr_caller_server_new (&task->directory_pages.host, task->loop, ip,
-                                            settings->directory_port);
-  if (!task->directory)
+    task->directory_server = mr_caller_server_new (&task->directory_pages.host, task->loop, ip,
+                                                   settings->directory_port);
+  if (!task->directory_server)
     return MR_ERROR_SYSTEM;
   if (settings->metrics_port == 0)
     return MR_OK;
-  task->metrics =
+  task->metrics_server =
       mr_caller_server_new (&task->metrics_pages.host, task->loop, ip, settings->metrics_port);
-  return task->metrics ? MR_OK : MR_ERROR_SYSTEM;
+  return task->metrics_server ? MR_OK : MR_ERROR_SYSTEM;
 }
 
 MrRelayTask *
@@ -250,28 +251,28 @@
   task->on_stopped = info->stopped;
   task->user = info->user;
   task->roster = mr_roster_new ();
-  task->early = mr_start_queue_new (mr_now ());
-  task->cold = mr_cold_share_new (settings->base.domain,
-                                  settings->regions ? g_hash_table_size (settings->regions) : 0);
+  task->early_requests = mr_startup_queue_new (mr_now ());
+  task->cold_share = mr_cold_share_new (
+      settings->base.domain, settings->regions ? g_hash_table_size (settings->regions) : 0);
   task->content_key = mr_settings_content_key (&settings->base);
   mr_relay_request_init (task);
   mr_relay_pages_init (task);
   task->loop = mr_loop_new (&task->loop_host, (guint) settings->max_descriptors);
   if (task->loop && S_listen (task) == MR_OK)
     {
-      MrRelayInfo relay = {
+      MrRelayOptions relay = {
         .domain = settings->base.domain,
         .regions = settings->regions,
         .policy = &mr_relay_policy,
         .seed = info->seed,
         .unix_offset = g_get_real_time () - mr_now (),
-        .cold = { .factor = settings->cold_factor, .slack = settings->cold_slack },
+        .cold_limit = { .rate_factor = settings->cold_factor, .slack = settings->cold_slack },
         .budget = {
-          .window = settings->window_ms * MR_MS,
-          .ratio = settings->extra_ratio,
-          .allowance = settings->extra_allowance,
-          .margin = MR_FLEET_MARGIN,
-          .born = mr_now (),
+          .window = settings->budget_window_ms * MR_MS,
+          .ratio = settings->resend_ratio,
+          .allowance = settings->resend_slack,
+          .margin = MR_RESEND_BUDGET_MARGIN,
+          .started_at = mr_now (),
         },
       };
       task->relay = mr_relay_new (&task->relay_host, &relay);
@@ -288,15 +289,15 @@
   if (!task)
     return;
   mr_loop_free (task->loop);
-  mr_caller_server_free (task->callers);
+  mr_caller_server_free (task->caller_server);
   mr_caller_server_free (task->ready_server);
-  mr_caller_server_free (task->directory);
-  mr_caller_server_free (task->metrics);
+  mr_caller_server_free (task->directory_server);
+  mr_caller_server_free (task->metrics_server);
   mr_target_client_free (task->client);
   mr_relay_free (task->relay);
-  mr_start_queue_free (task->early);
-  mr_cold_share_free (task->cold);
-  mr_entry_plan_clear (&task->plan);
+  mr_startup_queue_free (task->early_requests);
+  mr_cold_share_free (task->cold_share);
+  mr_entry_plan_clear (&task->entry_plan);
   mr_roster_free (task->roster);
   mr_view_unref (task->view);
   g_free (task);
--- a/src/relay_task.h
+++ b/src/relay_task.h
@@ -12,7 +12,7 @@
 enum
 {
   /* One plain success in this many has a log line; all else has one each. */
-  MR_PLAIN_SAMPLE = 50,
+  MR_SUCCESS_LOG_INTERVAL = 50,
 };
 
 typedef struct _MrRelayTask MrRelayTask;
--- a/src/relay_task_private.h
+++ b/src/relay_task_private.h
@@ -12,14 +12,14 @@
 #include "message.h"
 #include "relay.h"
 #include "relay_task.h"
-#include "start_queue.h"
+#include "startup_queue.h"
 #include "target_client.h"
 
 typedef struct
 {
   MrCallerServerHost host;
   MrRelayTask *task;
-} Pages;
+} PageHost;
 
 struct _MrRelayTask
 {
@@ -27,38 +27,38 @@
   MrRelayHost relay_host;
   MrTargetClientHost client_host;
   MrCallerServerHost caller_host;
-  Pages ready_pages;
-  Pages directory_pages;
-  Pages metrics_pages;
+  PageHost ready_pages;
+  PageHost directory_pages;
+  PageHost metrics_pages;
   const MrRelaySettings *settings;
   const MrDialect *dialect;
   MrLoop *loop;
   MrMailbox *control;
   MrRelay *relay;
   MrTargetClient *client;
-  MrCallerServer *callers;
+  MrCallerServer *caller_server;
   MrCallerServer *ready_server;
-  MrCallerServer *directory;
-  MrCallerServer *metrics; /* NULL: not asked for */
+  MrCallerServer *directory_server;
+  MrCallerServer *metrics_server; /* NULL: not asked for */
   MrView *view;
   MrRoster *roster;
-  MrEntryPlan plan; /* of the roster's members */
-  MrColdShare *cold;
+  MrEntryPlan entry_plan; /* of the roster's members */
+  MrColdShare *cold_share;
   guint32 load; /* thousandths of a core, in steps */
   guint32 announced_load;
-  guint64 load_calls;  /* counted when the load was measured */
-  MrTime load_at;      /* next measurement */
-  gboolean announced;  /* told the others that this daemon takes callers */
-  MrStartQueue *early; /* requests that came before this daemon was ready */
-  guint64 content_key; /* of fingerprints: the deployment's */
-  guint64 early_count; /* of them, ever */
-  MrTime stop_at;      /* when the planned stop began; 0: none */
+  guint64 calls_at_last_load;     /* counted when the load was measured */
+  MrTime next_load_at;            /* next measurement */
+  gboolean announced_ready;       /* told the others that this daemon takes callers */
+  MrStartupQueue *early_requests; /* requests that came before this daemon was ready */
+  guint64 content_key;            /* of fingerprints: the deployment's */
+  guint64 early_request_count;    /* of them, ever */
+  MrTime stop_began;              /* when the planned stop began; 0: none */
   gboolean stopped;
   void (*on_stopped) (void *user);
   void *user;
-  guint64 served;      /* plain answers, for the sampling of their log lines */
-  guint64 statuses[6]; /* answers by hundreds */
-  MrHistogram latency; /* of answers with success */
+  guint64 success_count;          /* plain answers, for the sampling of their log lines */
+  guint64 status_class_counts[6]; /* answers by hundreds */
+  MrHistogram success_latency;    /* of answers with success */
 };
 
 #define RELAY_TASK_OF(pointer, member)                                                             \
@@ -76,12 +76,13 @@
   guint64 version; /* of the configuration */
   int status;
   MrTime took;
-  MrTime left; /* until the caller's deadline */
-} MrRelayLine;
+  MrTime time_left; /* until the caller's deadline */
+} MrRequestLogInfo;
 
-void mr_relay_log_result (MrRelayTask *task, const MrRelayLine *about, const MrRelayResult *result);
+void
+mr_relay_log_result (MrRelayTask *task, const MrRequestLogInfo *about, const MrRelayResult *result);
 
 void mr_relay_request_init (MrRelayTask *task);
 /* Begins the requests that came early, or refuses them if it is time. */
-void mr_relay_request_release (MrRelayTask *task, MrTime now, MrTime *next);
+void mr_relay_request_flush_early (MrRelayTask *task, MrTime now, MrTime *next);
 void mr_relay_pages_init (MrRelayTask *task);
--- a/src/listing.c
+++ b/src/removal_filter.c
@@ -1,4 +1,4 @@
-#include "listing.h"
+#include "removal_filter.h"
 
 /* Entries are back within about two seconds of the store's return. */
 static const MrTime GRACE = 2300 * MR_MS;
@@ -23,7 +23,7 @@
   MrTime due; /* MR_NEVER: learned in an outage that lasts */
 } Removal;
 
-struct _MrListing
+struct _MrRemovalFilter
 {
   GHashTable *seen;     /* names in the listing under way */
   GHashTable *removals; /* name -> Removal */
@@ -35,10 +35,10 @@
   guint burst;
 };
 
-MrListing *
-mr_listing_new (void)
+MrRemovalFilter *
+mr_removal_filter_new (void)
 {
-  MrListing *listing = g_new0 (MrListing, 1);
+  MrRemovalFilter *listing = g_new0 (MrRemovalFilter, 1);
   listing->seen = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   listing->removals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   listing->up = true;
@@ -46,7 +46,7 @@
 }
 
 void
-mr_listing_free (MrListing *listing)
+mr_removal_filter_free (MrRemovalFilter *listing)
 {
   if (!listing)
     return;
@@ -58,7 +58,7 @@
 /* While the store is down no entry can come back, so removals that were learned
  * then wait for GRACE from its return. */
 static void
-S_begin_wait (MrListing *listing, MrTime now)
+S_begin_wait (MrRemovalFilter *listing, MrTime now)
 {
   GHashTableIter iter;
   gpointer item = NULL;
@@ -72,7 +72,7 @@
  * each burst, a target that left would be given work for as long as others
  * leave. */
 static void
-S_hold_burst (MrListing *listing)
+S_hold_burst (MrRemovalFilter *listing)
 {
   GHashTableIter iter;
   gpointer item = NULL;
@@ -86,7 +86,7 @@
 }
 
 void
-mr_listing_set_store (MrListing *listing, MrTime now, bool up)
+mr_removal_filter_set_store_up (MrRemovalFilter *listing, MrTime now, bool up)
 {
   if (up == listing->up)
     return;
@@ -97,26 +97,26 @@
 }
 
 void
-mr_listing_set_known (MrListing *listing, unsigned known)
+mr_removal_filter_set_object_count (MrRemovalFilter *listing, unsigned known)
 {
   listing->known = known;
 }
 
 void
-mr_listing_begin (MrListing *listing, guint64 version)
+mr_removal_filter_begin_listing (MrRemovalFilter *listing, guint64 version)
 {
   g_hash_table_remove_all (listing->seen);
   listing->version = version;
 }
 
 guint64
-mr_listing_version (const MrListing *listing)
+mr_removal_filter_listing_version (const MrRemovalFilter *listing)
 {
   return listing->version;
 }
 
 void
-mr_listing_present (MrListing *listing, const char *name, guint64 version)
+mr_removal_filter_add_present (MrRemovalFilter *listing, const char *name, guint64 version)
 {
   const Removal *removal = g_hash_table_lookup (listing->removals, name);
   if (removal && removal->version < version)
@@ -125,13 +125,13 @@
 }
 
 bool
-mr_listing_has (const MrListing *listing, const char *name)
+mr_removal_filter_is_listed (const MrRemovalFilter *listing, const char *name)
 {
   return g_hash_table_contains (listing->seen, name);
 }
 
 static MrTime
-S_due (MrListing *listing, MrTime now)
+S_due (MrRemovalFilter *listing, MrTime now)
 {
   if (!listing->up)
     return MR_NEVER;
@@ -149,7 +149,10 @@
 }
 
 void
-mr_listing_removed (MrListing *listing, MrTime now, const char *name, guint64 version)
+mr_removal_filter_add_removed (MrRemovalFilter *listing,
+                               MrTime now,
+                               const char *name,
+                               guint64 version)
 {
   const Removal *known = g_hash_table_lookup (listing->removals, name);
   if (known && known->version >= version)
@@ -161,7 +164,7 @@
 }
 
 bool
-mr_listing_take (MrListing *listing, MrTime now, char **name, guint64 *version)
+mr_removal_filter_take_due (MrRemovalFilter *listing, MrTime now, char **name, guint64 *version)
 {
   GHashTableIter iter;
   gpointer key = NULL;
@@ -181,7 +184,7 @@
 }
 
 MrTime
-mr_listing_next (const MrListing *listing)
+mr_removal_filter_next_due (const MrRemovalFilter *listing)
 {
   MrTime next = MR_NEVER;
   GHashTableIter iter;
--- a/src/listing.h
+++ b/src/removal_filter.h
@@ -13,33 +13,37 @@
 #include "text.h"
 #include <stdbool.h>
 
-typedef struct _MrListing MrListing;
+typedef struct _MrRemovalFilter MrRemovalFilter;
 
-MrListing *mr_listing_new (void);
-void mr_listing_free (MrListing *listing);
+MrRemovalFilter *mr_removal_filter_new (void);
+void mr_removal_filter_free (MrRemovalFilter *listing);
 
 /* The store does not answer, or answers again. */
-void mr_listing_set_store (MrListing *listing, MrTime now, bool up);
+void mr_removal_filter_set_store_up (MrRemovalFilter *listing, MrTime now, bool up);
 
 /* How many objects are known: a lapse takes a good part of them. */
-void mr_listing_set_known (MrListing *listing, unsigned known);
+void mr_removal_filter_set_object_count (MrRemovalFilter *listing, unsigned known);
 
 /* A full listing begins; what it does not name was gone at @version. */
-void mr_listing_begin (MrListing *listing, guint64 version);
-guint64 mr_listing_version (const MrListing *listing);
+void mr_removal_filter_begin_listing (MrRemovalFilter *listing, guint64 version);
+guint64 mr_removal_filter_listing_version (const MrRemovalFilter *listing);
 
 /* The object exists at @version: named in a listing or in an event. */
-void mr_listing_present (MrListing *listing, const char *name, guint64 version);
+void mr_removal_filter_add_present (MrRemovalFilter *listing, const char *name, guint64 version);
 
 /* TRUE if the listing under way has named it. */
-bool mr_listing_has (const MrListing *listing, const char *name);
+bool mr_removal_filter_is_listed (const MrRemovalFilter *listing, const char *name);
 
 /* The object was removed at @version. */
-void mr_listing_removed (MrListing *listing, MrTime now, const char *name, guint64 version);
+void mr_removal_filter_add_removed (MrRemovalFilter *listing,
+                                    MrTime now,
+                                    const char *name,
+                                    guint64 version);
 
 /* Takes a removal that is to be believed by now; false if there is none.
  * @name is new. */
-bool mr_listing_take (MrListing *listing, MrTime now, char **name, guint64 *version);
+bool
+mr_removal_filter_take_due (MrRemovalFilter *listing, MrTime now, char **name, guint64 *version);
 
 /* When the next removal is to be believed; MR_NEVER if there is none. */
-MrTime mr_listing_next (const MrListing *listing);
+MrTime mr_removal_filter_next_due (const MrRemovalFilter *listing);
--- a/src/spread.c
+++ b/src/replication.c
@@ -1,4 +1,4 @@
-#include "spread.h"
+#include "replication.h"
 
 #include "log.h"
 #include "membership.h"
@@ -35,7 +35,7 @@
   LISTS_AT_ONCE = 4,
 };
 
-static const MrRange EVERYTHING = { 0 };
+static const MrHashRange EVERYTHING = { 0 };
 
 /* News that is gathered, until the neighbours are told. */
 typedef struct
@@ -52,9 +52,9 @@
   guint64 digest;
 } Differs;
 
-struct _MrSpread
+struct _MrReplication
 {
-  MrSpreadHost *host;
+  MrReplicationHost *host;
   MrRegistry *registry;
   char *self;
   GHashTable *asked;    /* "<kind>/<name>/<version>" -> MrTime* of the last GET */
@@ -82,10 +82,10 @@
   g_free (untold);
 }
 
-MrSpread *
-mr_spread_new (MrSpreadHost *host, MrRegistry *registry, const char *self)
+MrReplication *
+mr_replication_new (MrReplicationHost *host, MrRegistry *registry, const char *self)
 {
-  MrSpread *spread = g_new0 (MrSpread, 1);
+  MrReplication *spread = g_new0 (MrReplication, 1);
   spread->host = host;
   spread->registry = registry;
   spread->self = g_strdup (self);
@@ -100,7 +100,7 @@
 }
 
 void
-mr_spread_free (MrSpread *spread)
+mr_replication_free (MrReplication *spread)
 {
   if (!spread)
     return;
@@ -150,7 +150,7 @@
 /* Telling. */
 
 static void
-S_tell (MrSpread *spread, const char *neighbour)
+S_tell (MrReplication *spread, const char *neighbour)
 {
   g_autoptr (GArray) list = g_array_new (FALSE, FALSE, sizeof (MrNews));
   GHashTableIter iter;
@@ -172,7 +172,7 @@
 }
 
 MrTime
-mr_spread_tick (MrSpread *spread, MrTime now)
+mr_replication_tick (MrReplication *spread, MrTime now)
 {
   if (g_hash_table_size (spread->untold) == 0)
     return MR_NEVER;
@@ -191,28 +191,28 @@
 
 /* With the last object of a peer's whole list this daemon knows what that peer knows. */
 static void
-S_note_arrival (MrSpread *spread, MrObjectKind kind, MrText name)
+S_note_arrival (MrReplication *spread, MrObjectKind kind, MrText name)
 {
   g_autofree char *key = S_key (kind, name);
   if (g_hash_table_remove (spread->missing, key) && g_hash_table_size (spread->missing) == 0)
     spread->synced = TRUE;
 }
 
-MrOffer
-mr_spread_offer (MrSpread *spread,
-                 MrObjectKind kind,
-                 MrText name,
-                 guint64 version,
-                 MrText body,
-                 const char *from)
+MrOfferResult
+mr_replication_offer (MrReplication *spread,
+                      MrObjectKind kind,
+                      MrText name,
+                      guint64 version,
+                      MrText body,
+                      const char *from)
 {
-  MrOffer offer = mr_registry_offer (spread->registry, kind, name, version, body);
+  MrOfferResult offer = mr_registry_offer (spread->registry, kind, name, version, body);
   if (offer == MR_OFFER_OLD)
     mr_log (MR_LOG_NOTICE, MR_EVENT_OBJECT_OLD,
             "%s/%.*s: version %" G_GUINT64_FORMAT " from %s is older than ours; passed over",
             mr_object_kind_name (kind), (int) name.len, name.data, version,
             from ? from : "the platform");
-  if (offer == MR_OFFER_KEPT)
+  if (offer == MR_OFFER_BODY_REJECTED)
     mr_log (MR_LOG_NOTICE, MR_EVENT_ENTRY_UNUSABLE,
             "%s/%.*s: version %" G_GUINT64_FORMAT
             " from %s was written by an earlier process or tells no start; passed over",
@@ -220,7 +220,7 @@
             from ? from : "the platform");
   if (from)
     S_note_arrival (spread, kind, name);
-  if (offer != MR_OFFER_NEW && offer != MR_OFFER_KEPT)
+  if (offer != MR_OFFER_NEW && offer != MR_OFFER_BODY_REJECTED)
     return offer;
   Untold *untold = g_new (Untold, 1);
   *untold = (Untold){
@@ -231,7 +231,7 @@
   g_hash_table_replace (spread->untold, S_key (kind, name), untold);
   spread->taken = TRUE;
   g_autofree char *own_name = mr_text_dup (name);
-  spread->host->taken (spread->host, mr_registry_get (spread->registry, kind, own_name));
+  spread->host->updated (spread->host, mr_registry_get (spread->registry, kind, own_name));
   return offer;
 }
 
@@ -239,7 +239,7 @@
 
 typedef struct
 {
-  MrRange range;
+  MrHashRange range;
   GArray *news; /* MrNews */
 } Listing;
 
@@ -248,13 +248,13 @@
 {
   Listing *listing = user;
   MrNews news = S_news (object);
-  if (mr_range_has (listing->range, object->place))
+  if (mr_hash_range_contains (listing->range, object->key_hash))
     g_array_append_val (listing->news, news);
 }
 
 /* All that is held here in @range, by name and version. */
 static void
-S_send_list (MrSpread *spread, const char *to, MrRange range)
+S_send_list (MrReplication *spread, const char *to, MrHashRange range)
 {
   Listing listing = { .range = range, .news = g_array_new (FALSE, FALSE, sizeof (MrNews)) };
   mr_registry_foreach (spread->registry, S_add_news, &listing);
@@ -266,29 +266,30 @@
 }
 
 static void
-S_send_ranges (MrSpread *spread, const char *to, MrRange range)
+S_send_ranges (MrReplication *spread, const char *to, MrHashRange range)
 {
-  guint64 digests[MR_RANGE_PARTS];
-  guint counts[MR_RANGE_PARTS];
-  mr_registry_ranges (spread->registry, range, digests, counts);
+  guint64 digests[MR_HASH_RANGE_PARTS];
+  guint counts[MR_HASH_RANGE_PARTS];
+  mr_registry_range_digests (spread->registry, range, digests, counts);
   spread->host->send (spread->host, to, mr_wire_ranges (spread->self, range, digests));
 }
 
 static void
-S_on_ranges (MrSpread *spread, const MrWireMessage *message)
+S_on_ranges (MrReplication *spread, const MrWireMessage *message)
 {
-  guint64 digests[MR_RANGE_PARTS];
-  guint counts[MR_RANGE_PARTS];
+  guint64 digests[MR_HASH_RANGE_PARTS];
+  guint counts[MR_HASH_RANGE_PARTS];
   guint differ = 0;
-  mr_registry_ranges (spread->registry, message->range, digests, counts);
-  for (guint i = 0; i < MR_RANGE_PARTS; i++)
+  mr_registry_range_digests (spread->registry, message->range, digests, counts);
+  for (guint i = 0; i < MR_HASH_RANGE_PARTS; i++)
     differ += digests[i] != message->digests[i];
-  gboolean whole = differ > PARTS_MOST || message->range.bits + MR_RANGE_STEP > MR_RANGE_BITS_MAX;
+  gboolean whole =
+      differ > PARTS_MOST || message->range.bits + MR_HASH_RANGE_PART_BITS > MR_HASH_RANGE_MAX_BITS;
   if (whole)
     S_send_list (spread, message->sender, message->range);
-  for (guint i = 0; i < MR_RANGE_PARTS && !whole; i++)
+  for (guint i = 0; i < MR_HASH_RANGE_PARTS && !whole; i++)
     {
-      MrRange part = mr_range_part (message->range, i);
+      MrHashRange part = mr_hash_range_part (message->range, i);
       if (digests[i] == message->digests[i])
         continue;
       if (counts[i] <= LISTED_MOST)
@@ -300,7 +301,7 @@
 
 /* Asks for the bodies of those of @message's objects that are newer than ours. */
 static void
-S_get_newer (MrSpread *spread, MrTime now, const MrWireMessage *message)
+S_get_newer (MrReplication *spread, MrTime now, const MrWireMessage *message)
 {
   g_autoptr (GArray) wanted = g_array_new (FALSE, FALSE, sizeof (MrNews));
   /* A list that a comparison brings may be of one that lacks more than we do. */
@@ -318,8 +319,8 @@
       /* No round trip for a body, while which calls would go where they must not. */
       if (mr_object_is_bodiless (news->kind))
         {
-          mr_spread_offer (spread, news->kind, mr_text (news->name), news->version, (MrText){ 0 },
-                           message->sender);
+          mr_replication_offer (spread, news->kind, mr_text (news->name), news->version,
+                                (MrText){ 0 }, message->sender);
           continue;
         }
       if (whole && !spread->synced)
@@ -346,7 +347,7 @@
 S_add_lacking (const MrObject *object, void *user)
 {
   Lacking *lacking = user;
-  if (!mr_range_has (lacking->list->range, object->place))
+  if (!mr_hash_range_contains (lacking->list->range, object->key_hash))
     return;
   g_autofree char *key = S_key (object->kind, mr_text (object->name));
   const MrNews *theirs = g_hash_table_lookup (lacking->versions, key);
@@ -357,7 +358,7 @@
 
 /* Tells the sender of a list what it holds in an older version or not at all. */
 static void
-S_tell_lacking (MrSpread *spread, const MrWireMessage *message)
+S_tell_lacking (MrReplication *spread, const MrWireMessage *message)
 {
   Lacking lacking = {
     .list = message,
@@ -378,7 +379,7 @@
 }
 
 static gboolean
-S_may_list_all (MrSpread *spread, MrTime now)
+S_may_list_all (MrReplication *spread, MrTime now)
 {
   if (now - spread->listed_at >= ASK_GAP)
     {
@@ -389,7 +390,7 @@
 }
 
 static void
-S_on_list (MrSpread *spread, MrTime now, const MrWireMessage *message)
+S_on_list (MrReplication *spread, MrTime now, const MrWireMessage *message)
 {
   /* Its sender holds nothing: it has just started, and asks for all. */
   if (message->range.bits == 0 && message->news_count == 0)
@@ -404,7 +405,7 @@
 }
 
 static void
-S_on_get (MrSpread *spread, const MrWireMessage *message)
+S_on_get (MrReplication *spread, const MrWireMessage *message)
 {
   g_autoptr (GPtrArray) found = g_ptr_array_new ();
   gsize bytes = 0;
@@ -426,19 +427,19 @@
 }
 
 static void
-S_on_objects (MrSpread *spread, MrTime now, const MrWireMessage *message)
+S_on_objects (MrReplication *spread, MrTime now, const MrWireMessage *message)
 {
   spread->fetch_at = now;
   for (guint i = 0; i < message->object_count; i++)
     {
       const MrNews *news = &message->objects[i].news;
-      mr_spread_offer (spread, news->kind, mr_text (news->name), news->version,
-                       message->objects[i].body, message->sender);
+      mr_replication_offer (spread, news->kind, mr_text (news->name), news->version,
+                            message->objects[i].body, message->sender);
     }
 }
 
 void
-mr_spread_receive (MrSpread *spread, MrTime now, const MrWireMessage *message)
+mr_replication_receive (MrReplication *spread, MrTime now, const MrWireMessage *message)
 {
   if (message->type == MR_WIRE_NEWS)
     S_get_newer (spread, now, message);
@@ -454,7 +455,7 @@
 
 /* TRUE if what @differs from here may be on its way. */
 static gboolean
-S_is_moving (MrSpread *spread, MrTime now, Differs *differs, guint64 digest)
+S_is_moving (MrReplication *spread, MrTime now, Differs *differs, guint64 digest)
 {
   gboolean other_moves = differs->digest != digest;
   differs->digest = digest;
@@ -463,7 +464,7 @@
 
 /* TRUE if a comparison with @from, whose digest is another, is due. */
 static gboolean
-S_compare_due (MrSpread *spread, MrTime now, const char *from, guint64 digest)
+S_compare_due (MrReplication *spread, MrTime now, const char *from, guint64 digest)
 {
   Differs *differs = g_hash_table_lookup (spread->differs, from);
   if (!differs)
@@ -484,7 +485,8 @@
 }
 
 void
-mr_spread_digest (MrSpread *spread, MrTime now, const char *from, guint64 digest, gboolean starts)
+mr_replication_receive_digest (
+    MrReplication *spread, MrTime now, const char *from, guint64 digest, gboolean starts)
 {
   if (spread->taken)
     spread->taken_at = now;
@@ -496,15 +498,15 @@
       return;
     }
   if (mr_registry_count (spread->registry) == 0)
-    mr_spread_ask (spread, now, from);
+    mr_replication_request_list (spread, now, from);
   else if (S_compare_due (spread, now, from, digest))
     S_send_ranges (spread, from, EVERYTHING);
 }
 
 void
-mr_spread_ask (MrSpread *spread, MrTime now, const char *name)
+mr_replication_request_list (MrReplication *spread, MrTime now, const char *name)
 {
-  if (spread->synced || mr_spread_is_fetching (spread, now) ||
+  if (spread->synced || mr_replication_is_fetching (spread, now) ||
       !S_once_in (spread->compared, name, now, ASK_GAP))
     return;
   g_hash_table_add (spread->lenders, g_strdup (name));
@@ -512,19 +514,19 @@
 }
 
 void
-mr_spread_set_complete (MrSpread *spread)
+mr_replication_set_complete (MrReplication *spread)
 {
   spread->complete = TRUE;
 }
 
 gboolean
-mr_spread_is_fetching (const MrSpread *spread, MrTime now)
+mr_replication_is_fetching (const MrReplication *spread, MrTime now)
 {
   return g_hash_table_size (spread->missing) > 0 && now - spread->fetch_at < GET_GAP;
 }
 
 gboolean
-mr_spread_synced (const MrSpread *spread)
+mr_replication_is_synced (const MrReplication *spread)
 {
   return spread->synced;
 }
--- a/src/budget.c
+++ b/src/resend_budget.c
@@ -1,4 +1,4 @@
-#include "budget.h"
+#include "resend_budget.h"
 
 #include "safeguard.h"
 
@@ -14,15 +14,15 @@
 static const double STARTS_MOST = 10;
 
 static void
-S_advance (MrWindowBudget *budget, const MrWindowTerms *terms, MrTime now)
+S_advance (MrResendBudget *budget, const MrResendBudgetConfig *terms, MrTime now)
 {
   gint64 bucket = now / (terms->window / BUCKETS_IN_WINDOW);
-  gint64 steps = MIN (bucket - budget->bucket, (gint64) MR_WINDOW_BUCKETS);
+  gint64 steps = MIN (bucket - budget->bucket, (gint64) MR_RESEND_BUDGET_BUCKETS);
   for (gint64 i = 0; i < steps; i++)
     {
-      gint64 place = (bucket - i) % MR_WINDOW_BUCKETS;
+      gint64 place = (bucket - i) % MR_RESEND_BUDGET_BUCKETS;
       budget->requests[place] = 0;
-      budget->extras[place] = 0;
+      budget->hedges_and_retries[place] = 0;
     }
   budget->bucket = MAX (bucket, budget->bucket);
 }
@@ -32,7 +32,7 @@
 {
   guint sum = 0;
   for (guint i = 0; i < buckets; i++)
-    sum += counts[(newest + MR_WINDOW_BUCKETS - i) % MR_WINDOW_BUCKETS];
+    sum += counts[(newest + MR_RESEND_BUDGET_BUCKETS - i) % MR_RESEND_BUDGET_BUCKETS];
   return sum;
 }
 
@@ -47,17 +47,17 @@
 }
 
 void
-mr_window_budget_request (MrWindowBudget *budget, const MrWindowTerms *terms, MrTime now)
+mr_resend_budget_add_request (MrResendBudget *budget, const MrResendBudgetConfig *terms, MrTime now)
 {
   S_advance (budget, terms, now);
-  budget->requests[budget->bucket % MR_WINDOW_BUCKETS]++;
+  budget->requests[budget->bucket % MR_RESEND_BUDGET_BUCKETS]++;
 }
 
 bool
-mr_window_budget_spend (MrWindowBudget *budget,
-                        const MrWindowTerms *terms,
-                        MrTime now,
-                        double share)
+mr_resend_budget_try_spend (MrResendBudget *budget,
+                            const MrResendBudgetConfig *terms,
+                            MrTime now,
+                            double share)
 {
   /* An outage of a shard makes a retry of every call; without a hard bound
    * the targets that still work get twice their load and fail too. */
@@ -66,16 +66,16 @@
   S_advance (budget, terms, now);
   /* One bucket more of what was spent and one less of what was earned: the
    * window slides, the buckets don't. */
-  double spent = S_sum (budget->extras, budget->bucket, BUCKETS_IN_WINDOW + 1);
+  double spent = S_sum (budget->hedges_and_retries, budget->bucket, BUCKETS_IN_WINDOW + 1);
   double requests = S_sum (budget->requests, budget->bucket, BUCKETS_IN_WINDOW);
   /* A process that was killed and started again knows nothing of what it spent
    * before; its share of the allowance comes back over one window. */
-  double grown = CLAMP ((double) (now - terms->born) / (double) terms->window, 0, 1);
+  double grown = CLAMP ((double) (now - terms->started_at) / (double) terms->window, 0, 1);
   double own = terms->allowance * terms->share;
   double allowed = (terms->ratio * requests + own * grown) * terms->margin;
   allowed = MAX (allowed, S_at_start (own));
   if (spent + 1 > allowed * share)
     return false;
-  budget->extras[budget->bucket % MR_WINDOW_BUCKETS]++;
+  budget->hedges_and_retries[budget->bucket % MR_RESEND_BUDGET_BUCKETS]++;
   return true;
 }
--- a/src/budget.h
+++ b/src/resend_budget.h
@@ -9,12 +9,12 @@
 
 enum
 {
-  MR_WINDOW_BUCKETS = 24,
+  MR_RESEND_BUDGET_BUCKETS = 24,
 };
 
 /* Margin of a fleet: the rest covers requests that a member counted and its
  * callers gave up before sending. */
-#define MR_FLEET_MARGIN 0.85
+#define MR_RESEND_BUDGET_MARGIN 0.85
 
 typedef struct
 {
@@ -25,22 +25,24 @@
   double margin;    /* part of all this that is spent at most, 0 to 1 */
   /* Start of this process: one before it may have spent its share, which comes
    * back over one window. */
-  MrTime born;
-} MrWindowTerms;
+  MrTime started_at;
+} MrResendBudgetConfig;
 
 typedef struct
 {
   gint64 bucket; /* newest, counted from 0 on the clock */
-  guint requests[MR_WINDOW_BUCKETS];
-  guint extras[MR_WINDOW_BUCKETS];
-} MrWindowBudget;
+  guint requests[MR_RESEND_BUDGET_BUCKETS];
+  guint hedges_and_retries[MR_RESEND_BUDGET_BUCKETS];
+} MrResendBudget;
 
 /* Counts a request of the service. */
-void mr_window_budget_request (MrWindowBudget *budget, const MrWindowTerms *terms, MrTime now);
+void mr_resend_budget_add_request (MrResendBudget *budget,
+                                   const MrResendBudgetConfig *terms,
+                                   MrTime now);
 
 /* Takes one hedge or retry out of the budget; false if that would go over @share
  * (0 to 1) of what is allowed. */
-bool mr_window_budget_spend (MrWindowBudget *budget,
-                             const MrWindowTerms *terms,
-                             MrTime now,
-                             double share);
+bool mr_resend_budget_try_spend (MrResendBudget *budget,
+                                 const MrResendBudgetConfig *terms,
+                                 MrTime now,
+                                 double share);
--- a/src/roster.c
+++ b/src/roster.c
@@ -21,7 +21,7 @@
   guint alive;
   guint reaching;
   GSequence *ranked; /* Entry, usable */
-  GSequence *groups[MR_ROSTER_GROUPS];
+  GSequence *groups[MR_ROSTER_GROUP_COUNT];
 };
 
 struct _MrRoster
@@ -32,7 +32,7 @@
   guint known; /* members that were new when they were put in */
   guint usable;
   guint64 load;
-  guint group_sizes[MR_ROSTER_GROUPS];
+  guint group_sizes[MR_ROSTER_GROUP_COUNT];
   guint64 steps;
 };
 
@@ -69,7 +69,7 @@
 S_domain_free (gpointer data)
 {
   Domain *domain = data;
-  for (int group = 0; group < MR_ROSTER_GROUPS; group++)
+  for (int group = 0; group < MR_ROSTER_GROUP_COUNT; group++)
     g_sequence_free (domain->groups[group]);
   g_sequence_free (domain->ranked);
   g_free (domain->name);
@@ -104,7 +104,7 @@
 }
 
 guint
-mr_roster_domain (const MrRoster *roster, const char *name)
+mr_roster_domain_index (const MrRoster *roster, const char *name)
 {
   guint i = 0;
   while (i < roster->domains->len && !g_str_equal (S_domain_at (roster, i)->name, name))
@@ -115,13 +115,13 @@
 static Domain *
 S_domain (MrRoster *roster, const char *name)
 {
-  Domain *domain = S_domain_at (roster, mr_roster_domain (roster, name));
+  Domain *domain = S_domain_at (roster, mr_roster_domain_index (roster, name));
   if (domain)
     return domain;
   domain = g_new0 (Domain, 1);
   domain->name = g_strdup (name);
   domain->ranked = g_sequence_new (NULL);
-  for (int group = 0; group < MR_ROSTER_GROUPS; group++)
+  for (int group = 0; group < MR_ROSTER_GROUP_COUNT; group++)
     domain->groups[group] = g_sequence_new (NULL);
   g_ptr_array_add (roster->domains, domain);
   return domain;
@@ -130,7 +130,7 @@
 static gboolean
 S_reaches (const MrMember *member)
 {
-  return member->state == MR_MEMBER_ALIVE && !member->cut_off;
+  return member->state == MR_MEMBER_ALIVE && !member->platform_unreachable;
 }
 
 /* FALSE: in none. */
@@ -140,7 +140,7 @@
   if (member->state == MR_MEMBER_ALIVE)
     *group = member->busy ? MR_ROSTER_STARTING : MR_ROSTER_READY;
   else if (member->state == MR_MEMBER_SUSPECT && !member->busy)
-    *group = MR_ROSTER_DOUBTFUL;
+    *group = MR_ROSTER_SUSPECT;
   else
     return FALSE;
   return TRUE;
@@ -243,7 +243,7 @@
 }
 
 gboolean
-mr_roster_has_met (const MrRoster *roster)
+mr_roster_has_known_others (const MrRoster *roster)
 {
   return roster->known > 1;
 }
@@ -255,13 +255,13 @@
 }
 
 guint
-mr_roster_usable (const MrRoster *roster)
+mr_roster_usable_count (const MrRoster *roster)
 {
   return roster->usable;
 }
 
 guint64
-mr_roster_load (const MrRoster *roster)
+mr_roster_total_load (const MrRoster *roster)
 {
   return roster->load;
 }
@@ -281,7 +281,10 @@
 }
 
 void
-mr_roster_turn (const MrRoster *roster, MrRosterGroup group, guint turn, GPtrArray *row)
+mr_roster_add_nth_per_domain (const MrRoster *roster,
+                              MrRosterGroup group,
+                              guint turn,
+                              GPtrArray *row)
 {
   for (guint i = 0; i < roster->domains->len; i++)
     {
@@ -292,7 +295,7 @@
 }
 
 guint
-mr_roster_domains (const MrRoster *roster)
+mr_roster_domain_count (const MrRoster *roster)
 {
   return roster->domains->len;
 }
@@ -311,14 +314,14 @@
 }
 
 guint
-mr_roster_domain_reaching (const MrRoster *roster, guint domain)
+mr_roster_domain_platform_reachable (const MrRoster *roster, guint domain)
 {
   const Domain *found = S_domain_at (roster, domain);
   return found ? found->reaching : 0;
 }
 
 const MrMember *
-mr_roster_ranked (const MrRoster *roster, guint domain, guint place)
+mr_roster_at_rank (const MrRoster *roster, guint domain, guint place)
 {
   const Domain *found = S_domain_at (roster, domain);
   const Entry *entry = found ? S_nth (roster, found->ranked, place) : NULL;
@@ -340,7 +343,7 @@
 }
 
 guint64
-mr_roster_steps (const MrRoster *roster)
+mr_roster_work_count (const MrRoster *roster)
 {
   return roster->steps;
 }
--- a/src/patience.h
+++ b/src/soft_deadline.h
@@ -10,21 +10,21 @@
 typedef struct
 {
   double mean; /* us; 0: nothing measured yet */
-  double spread;
-} MrFinishTime;
+  double deviation;
+} MrResponseOverhead;
 
-void mr_finish_time_note (MrFinishTime *finish, MrTime took);
+void mr_response_overhead_add (MrResponseOverhead *finish, MrTime took);
 /* What most answers keep within. */
-MrTime mr_finish_time_reserve (const MrFinishTime *finish);
+MrTime mr_response_overhead_estimate (const MrResponseOverhead *finish);
 
 typedef struct
 {
-  MrTime aim;
+  MrTime latency_goal;
   MrTime time_limit; /* of the route, which a caller who keeps to it counts down from */
-  MrTime left;       /* until the caller's deadline, when the request arrived */
+  MrTime remaining;  /* until the caller's deadline, when the request arrived */
   MrTime round_trip; /* to the caller; 0: not known */
-  MrTime reserve;
-} MrPatienceTerms;
+  MrTime response_overhead;
+} MrSoftDeadlineParams;
 
 /* From the arrival; half of the aim at least. */
-MrTime mr_patience (const MrPatienceTerms *terms);
+MrTime mr_soft_deadline (const MrSoftDeadlineParams *terms);
--- a/src/start_queue.h
+++ b/src/startup_queue.h
@@ -4,7 +4,7 @@
  * 30 to 60 requests in the 50 ms between its start and its configuration, a tenth
  * of two seconds' load.  Refused, half of them would come back to another daemon
  * that knows no more, and have used up their repeat.  So they wait, for at most
- * MR_START_PATIENCE after the start of the process; a daemon that knows nothing by
+ * MR_STARTUP_MAX_WAIT after the start of the process; a daemon that knows nothing by
  * then (no store, no peer) refuses at once, so that callers can go elsewhere. */
 #pragma once
 
@@ -14,33 +14,33 @@
 enum
 {
   /* Bounds memory: at 18 kB, the most that callers may send, under 5 MB. */
-  MR_START_QUEUE_MOST = 256,
+  MR_STARTUP_QUEUE_MAX = 256,
 };
 
 /* The longest wait of a relay for its peers (0.15 s) and two reads of the store. */
-#define MR_START_PATIENCE (200 * MR_MS)
+#define MR_STARTUP_MAX_WAIT (200 * MR_MS)
 
-typedef struct _MrStartQueue MrStartQueue;
+typedef struct _MrStartupQueue MrStartupQueue;
 
 typedef struct
 {
   gpointer caller;
   gconstpointer request; /* borrowed from the caller until it is answered */
-  MrTime began;          /* its first byte */
-  MrTime came;           /* the whole of it */
-} MrWaitingRequest;
+  MrTime first_byte_at;  /* its first byte */
+  MrTime received_at;    /* the whole of it */
+} MrQueuedRequest;
 
 /* @started: of this process. */
-MrStartQueue *mr_start_queue_new (MrTime started);
-void mr_start_queue_free (MrStartQueue *queue);
+MrStartupQueue *mr_startup_queue_new (MrTime started);
+void mr_startup_queue_free (MrStartupQueue *queue);
 
 /* FALSE if the request is to be refused: the time is over, or too many wait. */
-gboolean mr_start_queue_add (MrStartQueue *queue, MrTime now, const MrWaitingRequest *waiting);
+gboolean mr_startup_queue_push (MrStartupQueue *queue, MrTime now, const MrQueuedRequest *waiting);
 /* The caller has gone; FALSE if it did not wait. */
-gboolean mr_start_queue_remove (MrStartQueue *queue, gconstpointer caller);
+gboolean mr_startup_queue_remove (MrStartupQueue *queue, gconstpointer caller);
 /* Takes the one that has waited longest; FALSE if none does. */
-gboolean mr_start_queue_take (MrStartQueue *queue, MrWaitingRequest *waiting);
+gboolean mr_startup_queue_pop (MrStartupQueue *queue, MrQueuedRequest *waiting);
 
-guint mr_start_queue_length (const MrStartQueue *queue);
+guint mr_startup_queue_length (const MrStartupQueue *queue);
 /* When those that wait are to be refused; MR_NEVER if none does. */
-MrTime mr_start_queue_due (const MrStartQueue *queue);
+MrTime mr_startup_queue_deadline (const MrStartupQueue *queue);
--- a/src/target.c
+++ b/src/target.c
@@ -17,16 +17,16 @@
   state->ip = g_strdup (target->ip);
   state->port = target->port;
   state->domain = g_strdup (target->domain);
-  state->connections = target->connections;
+  state->connection_limit = target->connections;
   state->slots = target->slots;
   state->started = target->started;
-  state->latency = LATENCY_FIRST;
-  state->relative = 1;
-  state->cold_permits = MR_COLD_UNBOUNDED;
-  mr_limit_init (&state->limit, target->slots);
+  state->mean_latency = LATENCY_FIRST;
+  state->relative_latency = 1;
+  state->cold_permits = MR_COLD_UNLIMITED;
+  mr_concurrency_limit_init (&state->limit, target->slots);
   state->sets = g_ptr_array_new ();
-  state->broken = g_array_new (FALSE, FALSE, sizeof (MrFingerprint));
-  g_queue_init (&state->open);
+  state->broken_calls = g_array_new (FALSE, FALSE, sizeof (MrFingerprint));
+  g_queue_init (&state->open_calls);
   return state;
 }
 
@@ -40,7 +40,7 @@
   g_free (state->ip);
   g_free (state->domain);
   g_ptr_array_unref (state->sets);
-  g_array_unref (state->broken);
+  g_array_unref (state->broken_calls);
   g_free (state);
 }
 
@@ -53,18 +53,18 @@
 static gboolean
 S_is_over_cold (const MrTargetState *target, MrTime now)
 {
-  return now < target->cold_until && target->cold_permits != MR_COLD_UNBOUNDED &&
+  return now < target->cold_until && target->cold_permits != MR_COLD_UNLIMITED &&
          !mr_cold_window_allows (&target->cold_calls, now, target->cold_permits);
 }
 
 gboolean
-mr_target_state_bears (const MrTargetState *target, MrTime now)
+mr_target_state_can_take_call (const MrTargetState *target, MrTime now)
 {
   return mr_target_state_usable (target) && !S_is_over_cold (target, now);
 }
 
 gboolean
-mr_target_state_hopeful (const MrTargetState *target, MrTime now)
+mr_target_state_may_become_usable (const MrTargetState *target, MrTime now)
 {
   gboolean lives = mr_target_state_usable (target) ||
                    (target->health.state == MR_HEALTH_SUSPECT && !target->evacuated);
@@ -78,28 +78,28 @@
 }
 
 gboolean
-mr_target_state_free_slot (const MrTargetState *target)
+mr_target_state_has_free_slot (const MrTargetState *target)
 {
-  return target->in_flight < mr_limit_calls (&target->limit);
+  return target->in_flight < mr_concurrency_limit_calls (&target->limit);
 }
 
 gboolean
-mr_target_state_holds (const MrTargetState *target, const MrShardMap *map, MrTime now)
+mr_target_state_has_snapshot (const MrTargetState *target, const MrShardMap *map, MrTime now)
 {
-  return target->lacks != map->generation || now >= target->lacks_until;
+  return target->missing_generation != map->generation || now >= target->missing_until;
 }
 
 void
-mr_target_state_lacks (MrTargetState *target, const MrShardMap *map, MrTime now)
+mr_target_state_set_snapshot_missing (MrTargetState *target, const MrShardMap *map, MrTime now)
 {
-  target->lacks = map->generation;
-  target->lacks_until = now + LACKS_HOLD;
+  target->missing_generation = map->generation;
+  target->missing_until = now + LACKS_HOLD;
 }
 
 void
 mr_target_state_add_latency (MrTargetState *target, MrTime latency)
 {
-  target->latency += LATENCY_WEIGHT * ((double) latency - target->latency);
+  target->mean_latency += LATENCY_WEIGHT * ((double) latency - target->mean_latency);
 }
 
 /* One sample counts for at most this many times the usual: a single long pause
@@ -108,23 +108,23 @@
 static const double FAILING_WEIGHT = 0.1;
 
 void
-mr_target_state_add_relative (MrTargetState *target, MrTime latency, double usual)
+mr_target_state_add_relative_latency (MrTargetState *target, MrTime latency, double usual)
 {
   double sample = MIN ((double) latency / MAX (usual, 1), RELATIVE_MAX);
-  target->relative += LATENCY_WEIGHT * (sample - target->relative);
+  target->relative_latency += LATENCY_WEIGHT * (sample - target->relative_latency);
 }
 
 void
 mr_target_state_add_outcome (MrTargetState *target, gboolean failed)
 {
-  target->failing += FAILING_WEIGHT * ((failed ? 1.0 : 0.0) - target->failing);
+  target->failure_rate += FAILING_WEIGHT * ((failed ? 1.0 : 0.0) - target->failure_rate);
 }
 
 MrHealthAction
-mr_target_state_probed (MrTargetState *target, MrTime now, gboolean answered)
+mr_target_state_on_probe_result (MrTargetState *target, MrTime now, gboolean answered)
 {
   MrHealthState before = target->health.state;
-  MrHealthAction action = mr_health_on_probe (&target->health, answered, now);
+  MrHealthAction action = mr_health_on_probe_result (&target->health, answered, now);
   if (target->health.state == MR_HEALTH_DOWN && before != MR_HEALTH_DOWN)
     mr_log (MR_LOG_WARNING, MR_EVENT_TARGET_DOWN, "target %s (%s) is down", target->id,
             target->key);
--- a/src/target_client.c
+++ b/src/target_client.c
@@ -24,14 +24,14 @@
 {
   char *target;
   GQueue idle; /* Connection, last used first */
-} Pool;
+} BudgetPool;
 
 typedef struct
 {
   MrStreamHost host;
   MrTargetClient *client;
   MrStream *stream;
-  Pool *pool;
+  BudgetPool *pool;
   GList link;     /* in the pool's idle ones */
   GList all_link; /* in the client's connections */
   MrTimer timer;  /* end of connecting, or of idling */
@@ -69,7 +69,7 @@
 static void
 S_pool_free (gpointer data)
 {
-  Pool *pool = data;
+  BudgetPool *pool = data;
   g_free (pool->target);
   g_free (pool);
 }
@@ -98,13 +98,13 @@
   return client;
 }
 
-static Pool *
+static BudgetPool *
 S_pool (MrTargetClient *client, const char *target)
 {
-  Pool *pool = g_hash_table_lookup (client->pools, target);
+  BudgetPool *pool = g_hash_table_lookup (client->pools, target);
   if (pool)
     return pool;
-  pool = g_new0 (Pool, 1);
+  pool = g_new0 (BudgetPool, 1);
   pool->target = g_strdup (target);
   g_queue_init (&pool->idle);
   g_hash_table_insert (client->pools, pool->target, pool);
@@ -406,12 +406,12 @@
 static Connection *
 S_take_idle (MrTargetClient *client, MrTime now, const MrTargetCall *call)
 {
-  Pool *pool = S_pool (client, call->target->id);
+  BudgetPool *pool = S_pool (client, call->target->id);
   Connection *c = g_queue_peek_head (&pool->idle);
   if (!c)
     return NULL;
   MrTime idle_for = now - (c->timer.due - c->idle_most);
-  if (!call->repeatable && idle_for > FRESH)
+  if (!call->idempotent && idle_for > FRESH)
     {
       S_close (c); /* it makes room for a new one */
       return NULL;
@@ -475,7 +475,7 @@
 void
 mr_target_client_renew (MrTargetClient *client, const MrTargetState *target)
 {
-  Pool *pool = S_pool (client, target->id);
+  BudgetPool *pool = S_pool (client, target->id);
   while (!g_queue_is_empty (&pool->idle))
     S_close (g_queue_peek_head (&pool->idle));
 }
@@ -484,7 +484,7 @@
 mr_target_client_forget (MrTargetClient *client, const MrTargetState *target)
 {
   mr_target_client_renew (client, target);
-  mr_prober_forget (client->prober, target->id);
+  mr_prober_cancel (client->prober, target->id);
 }
 
 static void
@@ -512,7 +512,7 @@
         S_close (c);
     }
   MrTime next = mr_prober_tick (client->prober, now);
-  return client->failed->len > 0 ? now : MIN (next, mr_timers_next (client->timers));
+  return client->failed->len > 0 ? now : MIN (next, mr_timers_next_due (client->timers));
 }
 
 MrTargetClientCounts
--- a/src/target_client.h
+++ b/src/target_client.h
@@ -30,7 +30,7 @@
   MrText bytes;      /* the whole request */
   MrText request_id; /* that the answer has to echo */
   gboolean bodiless; /* the answer has no body (HEAD) */
-  gboolean repeatable;
+  gboolean idempotent;
   gboolean part; /* of a merged answer: anything but a success is a failure */
 } MrTargetCall;
 
--- a/src/target_task.c
+++ b/src/target_task.c
@@ -322,7 +322,7 @@
   for (guint lane = 0; lane < LANES; lane++)
     if (!link->busy[lane])
       mr_http_client_close_idle (task->client, target->ip, target->port, lane);
-  link->first = (link->first + mr_limit_calls (&target->limit) + 1) % LANES;
+  link->first = (link->first + mr_concurrency_limit_calls (&target->limit) + 1) % LANES;
   mr_metrics_add (MR_METRIC_RENEWALS, 1);
   mr_log (MR_LOG_NOTICE, MR_EVENT_CONNECTION_SILENT, "target %s: idle connections are replaced",
           target->id);
@@ -409,15 +409,15 @@
   GHashTableIter iter;
   gpointer key = NULL;
   MrTime now = mr_now ();
-  mr_dispatch_set_evacuated (task->dispatch, now, view->evacuated);
+  mr_dispatch_set_evacuated (task->dispatch, now, view->evacuated_domains);
   g_hash_table_iter_init (&iter, task->leaving);
   while (g_hash_table_iter_next (&iter, &key, NULL))
-    if (!g_hash_table_contains (view->leaving, key))
+    if (!g_hash_table_contains (view->leaving_targets, key))
       {
         mr_dispatch_target_leaving (task->dispatch, now, key, false);
         g_hash_table_iter_remove (&iter);
       }
-  g_hash_table_iter_init (&iter, view->leaving);
+  g_hash_table_iter_init (&iter, view->leaving_targets);
   while (g_hash_table_iter_next (&iter, &key, NULL))
     if (g_hash_table_add (task->leaving, g_strdup (key)))
       mr_dispatch_target_leaving (task->dispatch, now, key, true);
@@ -435,9 +435,9 @@
                           "\"limit\":%u,\"latency_us\":%.0f,\"calls\":%" G_GUINT64_FORMAT
                           ",\"shed\":%" G_GUINT64_FORMAT "}",
                           target->id, target->key, target->domain,
-                          mr_health_name (target->health.state), target->in_flight,
-                          mr_limit_calls (&target->limit), target->latency, target->calls,
-                          target->shed);
+                          mr_health_state_name (target->health.state), target->in_flight,
+                          mr_concurrency_limit_calls (&target->limit), target->mean_latency,
+                          target->calls, target->shed);
 }
 
 static void
@@ -565,7 +565,7 @@
     .start_call = S_start_call,
     .cancel_call = S_cancel_call,
     .probe = S_probe,
-    .renew = S_renew,
+    .reconnect = S_renew,
     .done = S_done,
     .evidence = S_evidence,
   };
--- a/src/timers.c
+++ b/src/timers.c
@@ -16,13 +16,13 @@
 S_put (MrTimers *timers, guint place, MrTimer *timer)
 {
   g_ptr_array_index (timers->items, place) = timer;
-  timer->place = place;
+  timer->heap_index = place;
 }
 
 static void
 S_rise (MrTimers *timers, MrTimer *timer)
 {
-  guint place = timer->place;
+  guint place = timer->heap_index;
   for (; place > 1 && S_at (timers, place / 2)->due > timer->due; place /= 2)
     S_put (timers, place, S_at (timers, place / 2));
   S_put (timers, place, timer);
@@ -31,7 +31,7 @@
 static void
 S_sink (MrTimers *timers, MrTimer *timer)
 {
-  guint place = timer->place;
+  guint place = timer->heap_index;
   guint last = timers->items->len - 1;
   for (guint child = place * 2; child <= last; child = place * 2)
     {
@@ -48,10 +48,10 @@
 static void
 S_remove (MrTimers *timers, MrTimer *timer)
 {
-  guint place = timer->place;
+  guint place = timer->heap_index;
   MrTimer *last = S_at (timers, timers->items->len - 1);
   g_ptr_array_set_size (timers->items, (gint) timers->items->len - 1);
-  timer->place = 0;
+  timer->heap_index = 0;
   if (last == timer)
     return;
   S_put (timers, place, last);
@@ -83,14 +83,14 @@
   timer->due = due;
   if (due == MR_NEVER)
     {
-      if (timer->place > 0)
+      if (timer->heap_index > 0)
         S_remove (timers, timer);
       return;
     }
-  if (timer->place == 0)
+  if (timer->heap_index == 0)
     {
       g_ptr_array_add (timers->items, timer);
-      timer->place = timers->items->len - 1;
+      timer->heap_index = timers->items->len - 1;
     }
   S_rise (timers, timer);
   S_sink (timers, timer);
@@ -107,7 +107,7 @@
 }
 
 MrTime
-mr_timers_next (const MrTimers *timers)
+mr_timers_next_due (const MrTimers *timers)
 {
   return timers->items->len < 2 ? MR_NEVER : S_at (timers, 1)->due;
 }
--- a/src/timers.h
+++ b/src/timers.h
@@ -10,7 +10,7 @@
 typedef struct
 {
   MrTime due;
-  guint place; /* in the heap, from 1; 0: not in it */
+  guint heap_index; /* in the heap, from 1; 0: not in it */
   gpointer owner;
 } MrTimer;
 
@@ -24,4 +24,4 @@
 MrTimer *mr_timers_pop (MrTimers *timers, MrTime now);
 
 /* Due time of the earliest, or MR_NEVER. */
-MrTime mr_timers_next (const MrTimers *timers);
+MrTime mr_timers_next_due (const MrTimers *timers);
--- a/src/traffic.c
+++ b/src/traffic.c
@@ -13,7 +13,7 @@
   atomic_ullong messages;
 } Counter;
 
-static Counter counters[MR_TRAFFIC_WAYS][MR_TRAFFIC_KINDS][2];
+static Counter counters[MR_TRAFFIC_DIRECTIONS][MR_TRAFFIC_KINDS][2];
 
 static const char *const kind_names[MR_TRAFFIC_KINDS] = {
   [MR_TRAFFIC_HEARTBEAT] = "heartbeat",
@@ -47,7 +47,7 @@
 }
 
 void
-mr_traffic_add (MrTrafficWay way, MrTrafficKind kind, gboolean same_domain, guint64 bytes)
+mr_traffic_add (MrTrafficDirection way, MrTrafficKind kind, gboolean same_domain, guint64 bytes)
 {
   Counter *counter = &counters[way][kind][same_domain ? 1 : 0];
   atomic_fetch_add_explicit (&counter->bytes, bytes, memory_order_relaxed);
@@ -55,14 +55,14 @@
 }
 
 guint64
-mr_traffic_bytes (MrTrafficWay way, MrTrafficKind kind, gboolean same_domain)
+mr_traffic_bytes (MrTrafficDirection way, MrTrafficKind kind, gboolean same_domain)
 {
   return atomic_load_explicit (&counters[way][kind][same_domain ? 1 : 0].bytes,
                                memory_order_relaxed);
 }
 
 guint64
-mr_traffic_messages (MrTrafficWay way, MrTrafficKind kind, gboolean same_domain)
+mr_traffic_messages (MrTrafficDirection way, MrTrafficKind kind, gboolean same_domain)
 {
   return atomic_load_explicit (&counters[way][kind][same_domain ? 1 : 0].messages,
                                memory_order_relaxed);
@@ -72,15 +72,15 @@
 S_write_counter (GString *out,
                  const char *name,
                  const char *help,
-                 guint64 (*read) (MrTrafficWay way, MrTrafficKind kind, gboolean same_domain))
+                 guint64 (*read) (MrTrafficDirection way, MrTrafficKind kind, gboolean same_domain))
 {
   g_string_append_printf (
       out, "# HELP merlinring_%s_total %s\n# TYPE merlinring_%s_total counter\n", name, help, name);
-  for (int way = 0; way < MR_TRAFFIC_WAYS; way++)
+  for (int way = 0; way < MR_TRAFFIC_DIRECTIONS; way++)
     for (int kind = 0; kind < MR_TRAFFIC_KINDS; kind++)
       for (int same = 0; same < 2; same++)
         {
-          guint64 value = read ((MrTrafficWay) way, (MrTrafficKind) kind, same);
+          guint64 value = read ((MrTrafficDirection) way, (MrTrafficKind) kind, same);
           if (value > 0)
             g_string_append_printf (
                 out,
@@ -91,7 +91,7 @@
 }
 
 void
-mr_traffic_write (GString *out)
+mr_traffic_write_metrics (GString *out)
 {
   S_write_counter (out, "peer_kind_bytes", "bytes between daemons", mr_traffic_bytes);
   S_write_counter (out, "peer_kind_messages", "messages between daemons", mr_traffic_messages);
--- a/src/traffic.h
+++ b/src/traffic.h
@@ -23,19 +23,20 @@
 {
   MR_TRAFFIC_SENT,
   MR_TRAFFIC_RECEIVED,
-  MR_TRAFFIC_WAYS,
-} MrTrafficWay;
+  MR_TRAFFIC_DIRECTIONS,
+} MrTrafficDirection;
 
 MrTrafficKind mr_traffic_kind (MrWireType type);
 const char *mr_traffic_kind_name (MrTrafficKind kind);
 
-void mr_traffic_add (MrTrafficWay way, MrTrafficKind kind, gboolean same_domain, guint64 bytes);
-guint64 mr_traffic_bytes (MrTrafficWay way, MrTrafficKind kind, gboolean same_domain);
-guint64 mr_traffic_messages (MrTrafficWay way, MrTrafficKind kind, gboolean same_domain);
+void
+mr_traffic_add (MrTrafficDirection way, MrTrafficKind kind, gboolean same_domain, guint64 bytes);
+guint64 mr_traffic_bytes (MrTrafficDirection way, MrTrafficKind kind, gboolean same_domain);
+guint64 mr_traffic_messages (MrTrafficDirection way, MrTrafficKind kind, gboolean same_domain);
 
 /* Writes a log line of what was sent since the last such line, if anything was; by
  * the control task only.  @platform_calls: calls to the platform since the start. */
 void mr_traffic_log (guint64 platform_calls);
 
 /* Appends all that are not 0, in the exposition text. */
-void mr_traffic_write (GString *out);
+void mr_traffic_write_metrics (GString *out);
--- a/src/view.c
+++ b/src/view.c
@@ -23,8 +23,8 @@
   atomic_init (&holder->references, 1);
   holder->view.members = members;
   holder->view.services = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, S_service_free);
-  holder->view.leaving = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  holder->view.evacuated = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  holder->view.leaving_targets = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  holder->view.evacuated_domains = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   return &holder->view;
 }
 
@@ -42,8 +42,8 @@
     return;
   mr_member_list_unref (view->members);
   g_hash_table_unref (view->services);
-  g_hash_table_unref (view->leaving);
-  g_hash_table_unref (view->evacuated);
+  g_hash_table_unref (view->leaving_targets);
+  g_hash_table_unref (view->evacuated_domains);
   mr_configuration_unref (view->configuration);
   g_free (view);
 }
@@ -60,8 +60,8 @@
 {
   MrServiceView *service = g_new0 (MrServiceView, 1);
   service->document = *document;
-  service->source = source;
-  service->version = version;
+  service->document_version = source;
+  service->accepted_version = version;
   service->map = map ? mr_shard_map_ref (map) : NULL;
   g_hash_table_replace (view->services, service->document.service, service);
 }
--- a/src/view.h
+++ b/src/view.h
@@ -11,17 +11,17 @@
 typedef struct
 {
   MrDocument document;
-  guint64 source;  /* version of the operators' document in force */
-  guint64 version; /* of the accepted object */
-  MrShardMap *map; /* NULL: none known yet */
+  guint64 document_version; /* version of the operators' document in force */
+  guint64 accepted_version; /* of the accepted object */
+  MrShardMap *map;          /* NULL: none known yet */
 } MrServiceView;
 
 typedef struct
 {
   MrMemberList *members;          /* NULL of a relay */
   GHashTable *services;           /* name -> MrServiceView */
-  GHashTable *leaving;            /* set of "ip:port" of targets */
-  GHashTable *evacuated;          /* set of failure domains whose targets get no new work */
+  GHashTable *leaving_targets;    /* set of "ip:port" of targets */
+  GHashTable *evacuated_domains;  /* set of failure domains whose targets get no new work */
   MrConfiguration *configuration; /* of routes; NULL: none known */
   gboolean ready;                 /* configuration is known well enough to serve */
   gboolean platform_up;
--- a/src/watch.c
+++ b/src/watch.c
@@ -19,7 +19,7 @@
 mr_watch_rank (const MrRoster *roster, const char *self)
 {
   const MrMember *own = mr_roster_find (roster, self);
-  return own ? mr_roster_rank (roster, mr_roster_domain (roster, own->domain), self) : 0;
+  return own ? mr_roster_rank (roster, mr_roster_domain_index (roster, own->domain), self) : 0;
 }
 
 /* How many members of a failure domain are to watch. */
@@ -27,9 +27,9 @@
 S_watchers_each (const MrRoster *roster)
 {
   guint count = 0;
-  for (guint i = 0; i < mr_roster_domains (roster); i++)
-    count += mr_roster_domain_reaching (roster, i) > 0 ? 1 : 0;
-  return (MR_RELAY_WATCHERS + MAX (count, 1) - 1) / MAX (count, 1);
+  for (guint i = 0; i < mr_roster_domain_count (roster); i++)
+    count += mr_roster_domain_platform_reachable (roster, i) > 0 ? 1 : 0;
+  return (MR_RELAY_WATCHERS_MIN + MAX (count, 1) - 1) / MAX (count, 1);
 }
 
 /* Members of a failure domain that rank above one. */
@@ -48,10 +48,10 @@
   guint rank = mr_roster_rank (roster, domain, own->name);
   for (guint i = 0; i < rank && ahead.before < most && ahead.passed_over <= PASSED_OVER_MOST; i++)
     {
-      const MrMember *member = mr_roster_ranked (roster, domain, i);
+      const MrMember *member = mr_roster_at_rank (roster, domain, i);
       if (member->state != MR_MEMBER_ALIVE)
         continue;
-      if (member->cut_off)
+      if (member->platform_unreachable)
         ahead.passed_over++;
       else
         ahead.before++;
@@ -60,13 +60,13 @@
 }
 
 bool
-mr_watch_relay (const MrRoster *roster, const char *self)
+mr_watch_is_relay_watcher (const MrRoster *roster, const char *self)
 {
   const MrMember *own = mr_roster_find (roster, self);
   if (!own)
     return true;
   guint most = S_watchers_each (roster);
-  Ahead ahead = S_ahead (roster, mr_roster_domain (roster, own->domain), own, most);
+  Ahead ahead = S_ahead (roster, mr_roster_domain_index (roster, own->domain), own, most);
   return ahead.before < most && ahead.passed_over <= PASSED_OVER_MOST;
 }
 
@@ -77,12 +77,12 @@
   guint passed_over = 0;
   for (guint place = 0; passed_over <= PASSED_OVER_MOST; place++)
     {
-      const MrMember *member = mr_roster_ranked (roster, domain, place);
+      const MrMember *member = mr_roster_at_rank (roster, domain, place);
       if (!member || mr_roster_score (member->name) <= score)
         return FALSE;
       if (member->state != MR_MEMBER_ALIVE)
         continue;
-      if (!member->cut_off)
+      if (!member->platform_unreachable)
         return TRUE;
       passed_over++;
     }
@@ -90,20 +90,20 @@
 }
 
 bool
-mr_watch_first (const MrRoster *roster, const char *self)
+mr_watch_is_first_watcher (const MrRoster *roster, const char *self)
 {
   if (!mr_roster_find (roster, self))
     return true;
-  if (!mr_watch_relay (roster, self))
+  if (!mr_watch_is_relay_watcher (roster, self))
     return false;
-  for (guint i = 0; i < mr_roster_domains (roster); i++)
+  for (guint i = 0; i < mr_roster_domain_count (roster); i++)
     if (S_has_watcher_above (roster, i, mr_roster_score (self)))
       return false;
   return true;
 }
 
 MrTime
-mr_watch_read_gap (guint readers)
+mr_watch_read_interval (guint readers)
 {
   return READ_GAP * MAX (1, readers / READERS_AT_ONCE);
 }
@@ -111,43 +111,43 @@
 guint
 mr_watch_begin (MrWatch *watch)
 {
-  watch->busy = TRUE;
-  return ++watch->calls;
+  watch->in_flight = TRUE;
+  return ++watch->call_number;
 }
 
 void
-mr_watch_renew (MrWatch *watch)
+mr_watch_restart (MrWatch *watch)
 {
-  watch->busy = FALSE;
+  watch->in_flight = FALSE;
   watch->due = 0;
 }
 
 bool
 mr_watch_is_current (const MrWatch *watch, guint call)
 {
-  return watch->busy && watch->calls == call;
+  return watch->in_flight && watch->call_number == call;
 }
 
 void
 mr_watch_ended (MrWatch *watch, MrTime now, gboolean success, gboolean watcher, double jitter)
 {
-  watch->busy = FALSE;
-  watch->done = watch->done || success;
-  if (watch->done && !watcher)
+  watch->in_flight = FALSE;
+  watch->has_succeeded = watch->has_succeeded || success;
+  if (watch->has_succeeded && !watcher)
     {
       /* Also after a failure: a whole fleet that asks a store which is down
        * again and again would keep it down. */
-      MrTime gap = mr_watch_read_gap (watch->readers);
+      MrTime gap = mr_watch_read_interval (watch->reader_count);
       watch->due = now + gap / 2 + (MrTime) (jitter * (double) gap);
       return;
     }
   if (success)
     {
-      watch->gap = 0;
-      watch->due = now + watch->pause;
+      watch->retry_delay = 0;
+      watch->due = now + watch->call_pause;
       return;
     }
-  MrTime gap = watch->gap * 2;
-  watch->gap = CLAMP (gap, GAP_FIRST, GAP_MAX);
-  watch->due = now + watch->gap / 2 + (MrTime) (jitter * (double) watch->gap);
+  MrTime gap = watch->retry_delay * 2;
+  watch->retry_delay = CLAMP (gap, GAP_FIRST, GAP_MAX);
+  watch->due = now + watch->retry_delay / 2 + (MrTime) (jitter * (double) watch->retry_delay);
 }
--- a/src/wire.c
+++ b/src/wire.c
@@ -58,8 +58,9 @@
   msgpack_pack_int (p, member->http_port);
   S_pack_string (p, member->domain);
   S_pack_string (p, member->region);
-  msgpack_pack_int (p, (int) member->state | (member->busy ? 8 : 0) | (member->cut_off ? 16 : 0));
-  msgpack_pack_uint32 (p, member->refutations);
+  msgpack_pack_int (p, (int) member->state | (member->busy ? 8 : 0) |
+                           (member->platform_unreachable ? 16 : 0));
+  msgpack_pack_uint32 (p, member->state_version);
   msgpack_pack_uint32 (p, member->capacity);
   msgpack_pack_uint32 (p, member->load);
 }
@@ -68,16 +69,16 @@
 mr_wire_heartbeat (const char *sender, const MrHeartbeat *heartbeat)
 {
   msgpack_packer p;
-  MrWireType type = heartbeat->list ? MR_WIRE_MEMBERS : MR_WIRE_HEARTBEAT;
+  MrWireType type = heartbeat->is_full_list ? MR_WIRE_MEMBERS : MR_WIRE_HEARTBEAT;
   GString *out = S_begin (&p, type, sender, 9);
-  msgpack_pack_int (&p, (int) heartbeat->kind | (int) heartbeat->ask << 1 |
-                            (heartbeat->watch_only ? MR_WIRE_WATCH_ONLY : 0));
-  msgpack_pack_uint64 (&p, heartbeat->number);
-  msgpack_pack_uint64 (&p, heartbeat->after);
-  msgpack_pack_uint64 (&p, heartbeat->upto);
-  msgpack_pack_uint64 (&p, heartbeat->taken);
-  msgpack_pack_uint64 (&p, heartbeat->digest);
-  msgpack_pack_uint64 (&p, heartbeat->members);
+  msgpack_pack_int (&p, (int) heartbeat->kind | (int) heartbeat->members_request << 1 |
+                            (heartbeat->no_updates ? MR_WIRE_WATCH_ONLY : 0));
+  msgpack_pack_uint64 (&p, heartbeat->ping_id);
+  msgpack_pack_uint64 (&p, heartbeat->updates_after);
+  msgpack_pack_uint64 (&p, heartbeat->updates_upto);
+  msgpack_pack_uint64 (&p, heartbeat->updates_acked);
+  msgpack_pack_uint64 (&p, heartbeat->registry_digest);
+  msgpack_pack_uint64 (&p, heartbeat->members_digest);
   S_pack_member (&p, &heartbeat->from);
   msgpack_pack_array (&p, heartbeat->update_count);
   for (guint i = 0; i < heartbeat->update_count; i++)
@@ -140,14 +141,14 @@
 }
 
 static void
-S_pack_range (msgpack_packer *p, MrRange range)
+S_pack_range (msgpack_packer *p, MrHashRange range)
 {
   msgpack_pack_uint64 (p, range.start);
   msgpack_pack_uint32 (p, range.bits);
 }
 
 GString *
-mr_wire_list (const char *sender, MrRange range, const MrNews *news, guint count)
+mr_wire_list (const char *sender, MrHashRange range, const MrNews *news, guint count)
 {
   msgpack_packer p;
   GString *out = S_begin (&p, MR_WIRE_LIST, sender, 3);
@@ -157,13 +158,13 @@
 }
 
 GString *
-mr_wire_ranges (const char *sender, MrRange range, const guint64 digests[MR_RANGE_PARTS])
+mr_wire_ranges (const char *sender, MrHashRange range, const guint64 digests[MR_HASH_RANGE_PARTS])
 {
   msgpack_packer p;
   GString *out = S_begin (&p, MR_WIRE_RANGES, sender, 3);
   S_pack_range (&p, range);
-  msgpack_pack_array (&p, MR_RANGE_PARTS);
-  for (guint i = 0; i < MR_RANGE_PARTS; i++)
+  msgpack_pack_array (&p, MR_HASH_RANGE_PARTS);
+  for (guint i = 0; i < MR_HASH_RANGE_PARTS; i++)
     msgpack_pack_uint64 (&p, digests[i]);
   return out;
 }
--- a/src/wire.h
+++ b/src/wire.h
@@ -96,9 +96,9 @@
   char sender[MR_NAME_MAX + 1];
   MrHeartbeat heartbeat;
   guint news_count;
-  MrNews *news;  /* of NEWS and LIST; of GET without versions */
-  MrRange range; /* of LIST and RANGES */
-  guint64 digests[MR_RANGE_PARTS];
+  MrNews *news;      /* of NEWS and LIST; of GET without versions */
+  MrHashRange range; /* of LIST and RANGES */
+  guint64 digests[MR_HASH_RANGE_PARTS];
   guint object_count;
   MrWireObject *objects;
   MrWireBatch batch;
@@ -115,8 +115,9 @@
 /* Asks for the newest version of each of @news. */
 GString *mr_wire_get (const char *sender, const MrNews *news, guint count);
 GString *mr_wire_objects (const char *sender, const MrObject *const *objects, guint count);
-GString *mr_wire_list (const char *sender, MrRange range, const MrNews *news, guint count);
-GString *mr_wire_ranges (const char *sender, MrRange range, const guint64 digests[MR_RANGE_PARTS]);
+GString *mr_wire_list (const char *sender, MrHashRange range, const MrNews *news, guint count);
+GString *
+mr_wire_ranges (const char *sender, MrHashRange range, const guint64 digests[MR_HASH_RANGE_PARTS]);
 /* @remaining_us: time left until the batch's deadline. */
 GString *mr_wire_batch (const char *sender,
                         guint64 root_incarnation,
--- a/src/wire_decode.c
+++ b/src/wire_decode.c
@@ -116,9 +116,9 @@
   S_string (&r, member->region, sizeof member->region);
   guint64 state = S_unsigned (&r, 31);
   member->busy = (state & 8) != 0;
-  member->cut_off = (state & 16) != 0;
+  member->platform_unreachable = (state & 16) != 0;
   member->state = (MrMemberState) (state & 7);
-  member->refutations = (guint32) S_unsigned (&r, G_MAXUINT32);
+  member->state_version = (guint32) S_unsigned (&r, G_MAXUINT32);
   member->capacity = (guint32) S_unsigned (&r, G_MAXUINT32);
   member->load = (guint32) S_unsigned (&r, G_MAXUINT32);
   if (r.bad || member->state > MR_MEMBER_DEAD || member->name[0] == '\0')
@@ -130,16 +130,16 @@
 {
   MrHeartbeat *heartbeat = &m->heartbeat;
   guint64 kind = S_unsigned (r, MR_WIRE_WATCH_ONLY * 2 - 1);
-  heartbeat->list = m->type == MR_WIRE_MEMBERS;
+  heartbeat->is_full_list = m->type == MR_WIRE_MEMBERS;
   heartbeat->kind = (MrHeartbeatKind) (kind & 1);
-  heartbeat->ask = (MrHeartbeatAsk) (kind >> 1 & 3);
-  heartbeat->watch_only = (kind & MR_WIRE_WATCH_ONLY) != 0;
-  heartbeat->number = S_unsigned (r, G_MAXUINT64);
-  heartbeat->after = S_unsigned (r, G_MAXUINT64);
-  heartbeat->upto = S_unsigned (r, G_MAXUINT64);
-  heartbeat->taken = S_unsigned (r, G_MAXUINT64);
-  heartbeat->digest = S_unsigned (r, G_MAXUINT64);
-  heartbeat->members = S_unsigned (r, G_MAXUINT64);
+  heartbeat->members_request = (MrMembersRequest) (kind >> 1 & 3);
+  heartbeat->no_updates = (kind & MR_WIRE_WATCH_ONLY) != 0;
+  heartbeat->ping_id = S_unsigned (r, G_MAXUINT64);
+  heartbeat->updates_after = S_unsigned (r, G_MAXUINT64);
+  heartbeat->updates_upto = S_unsigned (r, G_MAXUINT64);
+  heartbeat->updates_acked = S_unsigned (r, G_MAXUINT64);
+  heartbeat->registry_digest = S_unsigned (r, G_MAXUINT64);
+  heartbeat->members_digest = S_unsigned (r, G_MAXUINT64);
   S_read_member (r, &heartbeat->from);
   Reader updates = S_array (r, MR_TARGETS_MAX);
   heartbeat->updates = g_new0 (MrMember, updates.count + 1);
@@ -215,7 +215,7 @@
 S_read_range (Reader *r, MrWireMessage *m)
 {
   m->range.start = S_unsigned (r, G_MAXUINT64);
-  m->range.bits = (guint) S_unsigned (r, MR_RANGE_BITS_MAX);
+  m->range.bits = (guint) S_unsigned (r, MR_HASH_RANGE_MAX_BITS);
 }
 
 static void
@@ -229,8 +229,8 @@
 S_read_ranges (Reader *r, MrWireMessage *m)
 {
   S_read_range (r, m);
-  Reader list = S_array (r, MR_RANGE_PARTS);
-  for (guint i = 0; i < MR_RANGE_PARTS; i++)
+  Reader list = S_array (r, MR_HASH_RANGE_PARTS);
+  for (guint i = 0; i < MR_HASH_RANGE_PARTS; i++)
     m->digests[i] = S_unsigned (&list, G_MAXUINT64);
   r->bad = r->bad || list.bad;
 }
--- a/test/fleet.c
+++ b/test/fleet.c
@@ -30,7 +30,7 @@
 fleet_domain (const Fleet *fleet, guint index)
 {
   const FleetLayout *layout = &fleet->layout;
-  if (!layout->lone)
+  if (!layout->last_vm_alone)
     return index % layout->domains;
   return index + 1 == layout->count ? layout->domains - 1 : index % (layout->domains - 1);
 }
@@ -45,8 +45,8 @@
 static void
 S_delay_bodies (FleetNode *to, Mail *mail)
 {
-  mail->at = MAX (mail->at, to->bodies_until) + to->fleet->layout.bodies_take;
-  to->bodies_until = mail->at;
+  mail->at = MAX (mail->at, to->bodies_arrive_at) + to->fleet->layout.body_transfer_time;
+  to->bodies_arrive_at = mail->at;
 }
 
 /* Takes @bytes. */
@@ -66,7 +66,7 @@
     .to = to,
     .bytes = bytes,
   };
-  GQueue *queue = &fleet->mail[same ? 0 : 1];
+  GQueue *queue = &fleet->in_transit[same ? 0 : 1];
   if (kind == MR_TRAFFIC_OBJECTS)
     S_delay_bodies (&fleet->nodes[to], mail);
   GList *place = queue->tail;
@@ -87,18 +87,18 @@
 {
   FleetNode *node = (FleetNode *) host;
   mr_roster_put (node->roster, member);
-  node->watcher = mr_watch_relay (node->roster, node->self.name);
+  node->watcher = mr_watch_is_relay_watcher (node->roster, node->self.name);
   node->due = 0;
 }
 
 static void
-S_on_send (MrSpreadHost *host, const char *name, GString *bytes)
+S_on_send (MrReplicationHost *host, const char *name, GString *bytes)
 {
   S_post (NODE_OF_SPREAD (host), (guint) strtoul (name + 1, NULL, 10), bytes);
 }
 
 static guint
-S_on_neighbours (MrSpreadHost *host, const char **names)
+S_on_neighbours (MrReplicationHost *host, const char **names)
 {
   FleetNode *node = NODE_OF_SPREAD (host);
   const MrMember *neighbours[MR_NEIGHBOURS_MAX];
@@ -109,11 +109,11 @@
 }
 
 static void
-S_on_taken (MrSpreadHost *host, const MrObject *object)
+S_on_taken (MrReplicationHost *host, const MrObject *object)
 {
   FleetNode *node = NODE_OF_SPREAD (host);
   (void) object;
-  mr_membership_set_digest (node->membership, mr_registry_digest (node->registry));
+  mr_membership_set_registry_digest (node->membership, mr_registry_digest (node->registry));
 }
 
 static void
@@ -133,29 +133,30 @@
 S_start (FleetNode *node)
 {
   Fleet *fleet = node->fleet;
-  node->self.incarnation = ++fleet->incarnations;
-  node->membership_host = (MrMembershipHost){ .send = S_on_heartbeat, .changed = S_on_changed };
-  node->spread_host = (MrSpreadHost){
+  node->self.incarnation = ++fleet->last_incarnation;
+  node->membership_host =
+      (MrMembershipHost){ .send = S_on_heartbeat, .member_changed = S_on_changed };
+  node->spread_host = (MrReplicationHost){
     .send = S_on_send,
     .neighbours = S_on_neighbours,
-    .taken = S_on_taken,
+    .updated = S_on_taken,
   };
   guint32 seed = (guint32) node->self.incarnation;
   node->membership = mr_membership_new (&node->membership_host, &node->self, seed);
   node->registry = mr_registry_new ();
-  node->spread = mr_spread_new (&node->spread_host, node->registry, node->self.name);
+  node->spread = mr_replication_new (&node->spread_host, node->registry, node->self.name);
   node->roster = mr_roster_new ();
   mr_roster_put (node->roster, &node->self);
   node->watcher = TRUE;
   S_set_seeds (node);
   g_autoptr (GRand) random = g_rand_new_with_seed (seed);
-  MrJoiningInfo info = { .random = g_rand_double (random), .capacity = node->self.capacity };
-  mr_joining_init (&node->joining, fleet->now, &info);
-  node->starts = MR_NEVER;
+  MrBootstrapOptions info = { .random = g_rand_double (random), .capacity = node->self.capacity };
+  mr_bootstrap_init (&node->joining, fleet->now, &info);
+  node->start_at = MR_NEVER;
   node->due = 0;
-  node->read_ends = 0;
-  node->ready = 0;
-  node->store_seen = 0;
+  node->store_read_ends_at = 0;
+  node->ready_at = 0;
+  node->store_version_seen = 0;
 }
 
 void
@@ -165,7 +166,7 @@
   if (!node->membership)
     return;
   g_clear_pointer (&node->roster, mr_roster_free);
-  g_clear_pointer (&node->spread, mr_spread_free);
+  g_clear_pointer (&node->spread, mr_replication_free);
   g_clear_pointer (&node->registry, mr_registry_free);
   g_clear_pointer (&node->membership, mr_membership_free);
 }
@@ -173,7 +174,7 @@
 void
 fleet_start_at (Fleet *fleet, guint index, MrTime at)
 {
-  fleet->nodes[index].starts = at;
+  fleet->nodes[index].start_at = at;
 }
 
 void
@@ -192,7 +193,7 @@
 static guint32
 S_capacity (const FleetLayout *layout, guint index)
 {
-  guint strong = layout->strong_each * layout->domains;
+  guint strong = layout->large_vms_per_domain * layout->domains;
   if (strong == 0)
     return 250;
   guint step = MAX (layout->count / strong, 1);
@@ -207,7 +208,7 @@
   fleet->now = 100 * MR_SECOND;
   fleet->nodes = g_new0 (FleetNode, layout->count);
   fleet->store = mr_registry_new ();
-  fleet->store_version = MR_VERSIONS_APART;
+  fleet->store_version = MR_VERSION_STRIDE;
   fleet->domain_cut = g_new0 (gboolean, layout->domains * layout->domains);
   fleet->store_cut = g_new0 (gboolean, layout->domains);
   for (guint i = 0; i < layout->count; i++)
@@ -216,7 +217,7 @@
       guint domain = fleet_domain (fleet, i);
       node->fleet = fleet;
       node->index = i;
-      node->starts = MR_NEVER;
+      node->start_at = MR_NEVER;
       node->self = (MrMember){ .peer_port = (int) i + 1, .busy = TRUE };
       node->self.capacity = S_capacity (layout, i);
       g_snprintf (node->self.name, sizeof node->self.name, "d%u", i);
@@ -232,8 +233,8 @@
 fleet_free (Fleet *fleet)
 {
   for (int way = 0; way < 2; way++)
-    for (Mail *mail = g_queue_pop_head (&fleet->mail[way]); mail;
-         mail = g_queue_pop_head (&fleet->mail[way]))
+    for (Mail *mail = g_queue_pop_head (&fleet->in_transit[way]); mail;
+         mail = g_queue_pop_head (&fleet->in_transit[way]))
       {
         g_string_free (mail->bytes, TRUE);
         g_free (mail);
@@ -280,11 +281,11 @@
 }
 
 void
-fleet_write (Fleet *fleet, guint target)
+fleet_write_target (Fleet *fleet, guint target)
 {
   g_autofree char *name = g_strdup_printf ("i-%010x", target * 2654435761U);
   g_autoptr (GString) body = g_string_new (NULL);
-  fleet->store_version += MR_VERSIONS_APART;
+  fleet->store_version += MR_VERSION_STRIDE;
   /* Much of an entry is the same for all, as in a real one. */
   g_string_printf (body, "{\"id\":\"%s\",\"port\":%u,\"version\":%u,\"service\":\"shard-%u\"", name,
                    8000 + target % 1000, (guint) fleet->store_version, target / 3);
@@ -299,53 +300,53 @@
 S_take_object (const MrObject *object, void *user)
 {
   FleetNode *node = user;
-  if (object->version > node->store_seen)
-    mr_spread_offer (node->spread, object->kind, mr_text (object->name), object->version,
-                     mr_text_of (object->body), NULL);
+  if (object->version > node->store_version_seen)
+    mr_replication_offer (node->spread, object->kind, mr_text (object->name), object->version,
+                          mr_text_of (object->body), NULL);
 }
 
 static void
 S_take_store (FleetNode *node)
 {
   mr_registry_foreach (node->fleet->store, S_take_object, node);
-  node->store_seen = node->fleet->store_version;
+  node->store_version_seen = node->fleet->store_version;
 }
 
 static void
 S_tick_start (FleetNode *node)
 {
   Fleet *fleet = node->fleet;
-  gboolean synced = mr_spread_synced (node->spread);
+  gboolean synced = mr_replication_is_synced (node->spread);
   gboolean reaches = !fleet->store_cut[fleet_domain (fleet, node->index)];
-  if (node->read_ends == 0)
+  if (node->store_read_ends_at == 0)
     {
-      const MrJoiningState state = {
+      const MrBootstrapState state = {
         .self = node->self.name,
         .watcher = node->watcher,
-        .fetching = mr_spread_is_fetching (node->spread, fleet->now),
+        .fetching = mr_replication_is_fetching (node->spread, fleet->now),
         .synced = synced,
       };
-      MrJoiningStep step = mr_joining_step (&node->joining, fleet->now, node->roster, &state);
-      if (step.ask)
-        mr_spread_ask (node->spread, fleet->now, step.ask->name);
-      if (step.read && !synced && reaches)
+      MrBootstrapStep step = mr_bootstrap_step (&node->joining, fleet->now, node->roster, &state);
+      if (step.ask_peer)
+        mr_replication_request_list (node->spread, fleet->now, step.ask_peer->name);
+      if (step.read_store && !synced && reaches)
         {
-          node->read_ends = fleet->now + READ_TIME;
-          fleet->reads++;
+          node->store_read_ends_at = fleet->now + READ_TIME;
+          fleet->store_reads++;
         }
       node->due = MIN (node->due, MAX (step.next, fleet->now + STEP));
     }
-  gboolean read = node->read_ends != 0 && fleet->now >= node->read_ends;
+  gboolean read = node->store_read_ends_at != 0 && fleet->now >= node->store_read_ends_at;
   if (read)
     S_take_store (node);
   if (read || synced)
     {
-      node->ready = fleet->now;
-      mr_spread_set_complete (node->spread);
+      node->ready_at = fleet->now;
+      mr_replication_set_complete (node->spread);
       mr_membership_set_busy (node->membership, fleet->now, FALSE);
     }
-  else if (node->read_ends != 0)
-    node->due = MIN (node->due, node->read_ends);
+  else if (node->store_read_ends_at != 0)
+    node->due = MIN (node->due, node->store_read_ends_at);
 }
 
 static void
@@ -354,8 +355,8 @@
   Fleet *fleet = node->fleet;
   MrTime now = fleet->now;
   MrTime next = MIN (now + MR_SECOND, mr_membership_tick (node->membership, now));
-  node->due = MIN (next, mr_spread_tick (node->spread, now));
-  if (node->ready == 0)
+  node->due = MIN (next, mr_replication_tick (node->spread, now));
+  if (node->ready_at == 0)
     S_tick_start (node);
 }
 
@@ -364,7 +365,7 @@
 S_tick_watch (FleetNode *node)
 {
   Fleet *fleet = node->fleet;
-  if (node->ready == 0 || node->store_seen == fleet->store_version ||
+  if (node->ready_at == 0 || node->store_version_seen == fleet->store_version ||
       fleet->store_cut[fleet_domain (fleet, node->index)] || !node->watcher ||
       fleet->now < node->watch_at)
     return;
@@ -386,11 +387,12 @@
   if (message.type == MR_WIRE_HEARTBEAT || message.type == MR_WIRE_MEMBERS)
     {
       mr_membership_receive (node->membership, fleet->now, &message.heartbeat);
-      mr_spread_digest (node->spread, fleet->now, message.sender, message.heartbeat.digest,
-                        message.heartbeat.from.busy);
+      mr_replication_receive_digest (node->spread, fleet->now, message.sender,
+                                     message.heartbeat.registry_digest,
+                                     message.heartbeat.from.busy);
     }
   else
-    mr_spread_receive (node->spread, fleet->now, &message);
+    mr_replication_receive (node->spread, fleet->now, &message);
   mr_wire_message_clear (&message);
   node->due = 0;
 }
@@ -399,14 +401,14 @@
 S_step (Fleet *fleet)
 {
   for (guint i = 0; i < fleet->layout.count; i++)
-    if (!fleet->nodes[i].membership && fleet->now >= fleet->nodes[i].starts)
+    if (!fleet->nodes[i].membership && fleet->now >= fleet->nodes[i].start_at)
       S_start (&fleet->nodes[i]);
   for (int way = 0; way < 2; way++)
-    for (Mail *mail = g_queue_peek_head (&fleet->mail[way]); mail && mail->at <= fleet->now;
-         mail = g_queue_peek_head (&fleet->mail[way]))
+    for (Mail *mail = g_queue_peek_head (&fleet->in_transit[way]); mail && mail->at <= fleet->now;
+         mail = g_queue_peek_head (&fleet->in_transit[way]))
       {
         S_deliver (fleet, mail);
-        g_queue_pop_head (&fleet->mail[way]);
+        g_queue_pop_head (&fleet->in_transit[way]);
         g_string_free (mail->bytes, TRUE);
         g_free (mail);
       }
@@ -457,7 +459,7 @@
 fleet_members_agree (const Fleet *fleet)
 {
   for (guint i = 0; i < fleet->layout.count; i++)
-    if (fleet->nodes[i].starts != MR_NEVER ||
+    if (fleet->nodes[i].start_at != MR_NEVER ||
         (fleet->nodes[i].membership && !S_sees_the_living (fleet, &fleet->nodes[i])))
       return FALSE;
   return TRUE;
@@ -474,7 +476,7 @@
 }
 
 gboolean
-fleet_agrees (const Fleet *fleet)
+fleet_converged (const Fleet *fleet)
 {
   return fleet_objects_agree (fleet) && fleet_members_agree (fleet);
 }
@@ -483,8 +485,8 @@
 fleet_all_ready (const Fleet *fleet)
 {
   for (guint i = 0; i < fleet->layout.count; i++)
-    if (fleet->nodes[i].starts != MR_NEVER ||
-        (fleet->nodes[i].membership && fleet->nodes[i].ready == 0))
+    if (fleet->nodes[i].start_at != MR_NEVER ||
+        (fleet->nodes[i].membership && fleet->nodes[i].ready_at == 0))
       return FALSE;
   return TRUE;
 }
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -7,9 +7,9 @@
  * across failure domains, compressed as on the wire. */
 #pragma once
 
-#include "joining.h"
+#include "bootstrap.h"
 #include "membership.h"
-#include "spread.h"
+#include "replication.h"
 #include "traffic.h"
 
 typedef struct _Fleet Fleet;
@@ -17,24 +17,24 @@
 typedef struct
 {
   MrMembershipHost membership_host;
-  MrSpreadHost spread_host;
+  MrReplicationHost spread_host;
   Fleet *fleet;
   guint index;
   MrMember self;
   MrMembership *membership; /* NULL: not running */
   MrRegistry *registry;
-  MrSpread *spread;
+  MrReplication *spread;
   MrRoster *roster;
   gboolean watcher; /* by the members as they stand */
-  MrJoining joining;
-  MrTime starts; /* MR_NEVER: not to be started */
+  MrBootstrap joining;
+  MrTime start_at; /* MR_NEVER: not to be started */
   MrTime due;
-  MrTime read_ends; /* 0: not begun */
-  MrTime ready;     /* 0: not yet */
+  MrTime store_read_ends_at; /* 0: not begun */
+  MrTime ready_at;           /* 0: not yet */
   gboolean frozen;
-  MrTime bodies_until; /* a message of bodies is coming in */
-  MrTime watch_at;     /* when it watches again */
-  guint64 store_seen;  /* newest version that the store has told it */
+  MrTime bodies_arrive_at;    /* a message of bodies is coming in */
+  MrTime watch_at;            /* when it watches again */
+  guint64 store_version_seen; /* newest version that the store has told it */
 } FleetNode;
 
 typedef struct
@@ -43,10 +43,11 @@
   guint domains;
   guint regions; /* domains are dealt out to them in turn */
   guint seeds;
-  gboolean lone;      /* the last VM is alone in the last domain */
-  MrTime bodies_take; /* that a message of bodies takes to come in */
-  MrTime watch_pause; /* of a daemon that watches, between two answers; 0: none */
-  guint strong_each;  /* in each domain half a core, the others an eighth; 0: all a quarter */
+  gboolean last_vm_alone;    /* the last VM is alone in the last domain */
+  MrTime body_transfer_time; /* that a message of bodies takes to come in */
+  MrTime watch_pause;        /* of a daemon that watches, between two answers; 0: none */
+  guint
+      large_vms_per_domain; /* in each domain half a core, the others an eighth; 0: all a quarter */
 } FleetLayout;
 
 struct _Fleet
@@ -54,11 +55,11 @@
   FleetLayout layout;
   FleetNode *nodes;
   MrTime now;
-  GQueue mail[2]; /* in the order of arrival: inside a domain, across */
+  GQueue in_transit[2]; /* in the order of arrival: inside a domain, across */
   MrRegistry *store;
   guint64 store_version;
-  guint64 reads; /* whole listings of the store */
-  guint64 incarnations;
+  guint64 store_reads; /* whole listings of the store */
+  guint64 last_incarnation;
   gboolean *domain_cut; /* domain x domain: from the first nothing reaches the second */
   gboolean *store_cut;  /* domain: doesn't reach the store */
   guint64 bytes[MR_TRAFFIC_KINDS][2]; /* by 1: the same domain */
@@ -89,7 +90,7 @@
 void fleet_cut_domain (Fleet *fleet, guint domain, gboolean store, gboolean cut);
 
 /* The store takes a new version of a target. */
-void fleet_write (Fleet *fleet, guint target);
+void fleet_write_target (Fleet *fleet, guint target);
 
 void fleet_run (Fleet *fleet, MrTime span);
 
@@ -98,7 +99,7 @@
 gboolean fleet_members_agree (const Fleet *fleet);
 /* TRUE if each living daemon holds what the store holds. */
 gboolean fleet_objects_agree (const Fleet *fleet);
-gboolean fleet_agrees (const Fleet *fleet);
+gboolean fleet_converged (const Fleet *fleet);
 /* TRUE if all that are to run have what they need to serve. */
 gboolean fleet_all_ready (const Fleet *fleet);
 
--- a/test/platform/prop_store.cpp
+++ b/test/platform/prop_store.cpp
@@ -80,7 +80,7 @@
 {
   MrPlatformRequest *request = mr_platform_request_new (MR_PLATFORM_LIST, "targets", "");
   MrPlatformResult *result = mr_platform_result_new (request, 0);
-  mr_adapter_store.read (result, 200, { page.data (), page.size () });
+  mr_adapter_store.decode (result, 200, { page.data (), page.size () });
   return result;
 }
 
@@ -142,7 +142,7 @@
   for (int i = 0; i < 6; i++)
     {
       guint64 started = (guint64) g_rand_int_range (random, 1, 4);
-      guint64 version = MR_VERSIONS_APART * (guint64) (i + 1);
+      guint64 version = MR_VERSION_STRIDE * (guint64) (i + 1);
       std::string body = entry (started);
       for (MrRegistry *daemon : daemons)
         if (g_rand_boolean (random) || i == 5)
--- a/test/platform/standin.c
+++ b/test/platform/standin.c
@@ -591,7 +591,7 @@
       else
         S_answer_watch (peer, TRUE);
     }
-  return mr_timers_next (server->timers);
+  return mr_timers_next_due (server->timers);
 }
 
 int
--- a/test/platform/test_store.c
+++ b/test/platform/test_store.c
@@ -19,7 +19,7 @@
   MrPlatformRequest *request = mr_platform_request_new (MR_PLATFORM_LIST, kind, "");
   request->since = since;
   MrPlatformResult *result = mr_platform_result_new (request, 0);
-  mr_adapter_store.read (result, status, mr_text (body));
+  mr_adapter_store.decode (result, status, mr_text (body));
   return result;
 }
 
@@ -89,8 +89,8 @@
       assert_int_equal (result->objects->len, 1);
       const MrPlatformObject *object = g_ptr_array_index (result->objects, 0);
       guint64 version = mr_evacuation_version (object->version, object->deleted);
-      assert_int_equal (version / MR_VERSIONS_APART, cases[i].version);
-      assert_int_equal (mr_evacuation_holds (version), !cases[i].deleted);
+      assert_int_equal (version / MR_VERSION_STRIDE, cases[i].version);
+      assert_int_equal (mr_evacuation_is_active (version), !cases[i].deleted);
       mr_message_free (&result->base);
     }
 }
@@ -308,20 +308,22 @@
   MrConfiguration *c = mr_configuration_parse (mr_text_of (object->body));
   assert_non_null (c);
   assert_int_equal (mr_configuration_version (c), 7);
-  const MrRoute *shards = mr_configuration_match (c, MR_TEXT ("h.EXAMPLE:80"), MR_TEXT ("/a/q"));
+  const MrRoute *shards =
+      mr_configuration_find_route (c, MR_TEXT ("h.EXAMPLE:80"), MR_TEXT ("/a/q"));
   assert_int_equal (shards->kind, MR_ROUTE_SHARDS);
-  assert_true (shards->repeatable);
+  assert_true (shards->idempotent);
   assert_int_equal (shards->top_records, 5);
-  const MrRoute *single = mr_configuration_match (c, MR_TEXT ("h.example"), MR_TEXT ("/a/b/c"));
+  const MrRoute *single =
+      mr_configuration_find_route (c, MR_TEXT ("h.example"), MR_TEXT ("/a/b/c"));
   assert_int_equal (single->kind, MR_ROUTE_SERVICE);
-  assert_false (single->repeatable);
-  assert_string_equal (single->homes[0], "north");
-  assert_null (shards->homes);
-  assert_null (mr_configuration_match (c, MR_TEXT ("h.example"), MR_TEXT ("/b/")));
-  assert_int_equal (mr_configuration_service (c, "x")->most_connections, 40);
-  assert_true (mr_configuration_service (c, "x")->cold_rate == 0);
-  assert_true (mr_configuration_service (c, "y")->cold_rate == 12.5);
-  assert_int_equal (mr_configuration_service (c, "y")->cold_time, 3 * MR_SECOND);
+  assert_false (single->idempotent);
+  assert_string_equal (single->home_regions[0], "north");
+  assert_null (shards->home_regions);
+  assert_null (mr_configuration_find_route (c, MR_TEXT ("h.example"), MR_TEXT ("/b/")));
+  assert_int_equal (mr_configuration_find_service (c, "x")->max_connections_per_target, 40);
+  assert_true (mr_configuration_find_service (c, "x")->cold_rate == 0);
+  assert_true (mr_configuration_find_service (c, "y")->cold_rate == 12.5);
+  assert_int_equal (mr_configuration_find_service (c, "y")->cold_time, 3 * MR_SECOND);
   mr_configuration_unref (c);
   mr_message_free (&result->base);
 }
@@ -347,7 +349,7 @@
       request->since = cases[i].since;
       request->wait_ms = cases[i].since ? 28000 : 0;
       g_strlcpy (request->after, cases[i].after, sizeof request->after);
-      mr_adapter_store.write (request, &call);
+      mr_adapter_store.encode (request, &call);
       assert_string_equal (call.path, cases[i].path);
       g_free (call.path);
       mr_message_free (&request->base);
--- a/test/process_silent.sh
+++ b/test/process_silent.sh
@@ -10,7 +10,7 @@
 trap stop_all EXIT
 start_system
 RELAY=17350
-start relay "$BUILD/test/relay" $RELAY $SHOP_PORT
+start relay "$BUILD/test/tcp_proxy" $RELAY $SHOP_PORT
 version=$(http "http://$PLATFORM/v1/objects/shardmaps/shop-search" | sed 's/.*"version":\([0-9]*\).*/\1/')
 put shardmaps shop-search "$version" \
   "$(shard_map shop $SHOP_PORT 3 5 40 -1 | sed "s/\"port\":$SHOP_PORT,/\"port\":$RELAY,/")"
--- a/test/prop_cold.cpp
+++ b/test/prop_cold.cpp
@@ -73,12 +73,12 @@
     MrMemberList *members = mr_membership_list (node.membership);
     MrEntryPlan plan = mr_entry_plan (node.roster, node.self.name);
     for (guint i = 0; i < members->count; i++)
-      mr_cold_share_note (sender.share, fleet->now, &members->members[i]);
+      mr_cold_share_on_member (sender.share, fleet->now, &members->members[i]);
     double part = mr_cold_share_update (sender.share, fleet->now, node.roster, &plan);
     guint permits = mr_cold_share_permits (part, bound);
     while (mr_cold_window_allows (&sender.window, fleet->now, permits))
       {
-        mr_cold_window_note (&sender.window, fleet->now);
+        mr_cold_window_add (&sender.window, fleet->now);
         arrived.push_back (fleet->now);
       }
     mr_entry_plan_clear (&plan);
--- a/test/prop_documents.cpp
+++ b/test/prop_documents.cpp
@@ -40,12 +40,12 @@
 struct Daemon
 {
   MrControllerHost controller_host; // first
-  MrSpreadHost spread_host;
+  MrReplicationHost spread_host;
   World *world = nullptr;
   int index = 0;
   std::string name;
   MrRegistry *registry = nullptr;
-  MrSpread *spread = nullptr;
+  MrReplication *spread = nullptr;
   MrController *controller = nullptr;
   std::deque<Reply> replies;
   std::deque<std::string> inbox;
@@ -82,7 +82,7 @@
 };
 
 Daemon *
-of_spread (MrSpreadHost *host)
+of_spread (MrReplicationHost *host)
 {
   return reinterpret_cast<Daemon *> (reinterpret_cast<char *> (host) -
                                      offsetof (Daemon, spread_host));
@@ -104,7 +104,7 @@
 }
 
 void
-spread_send (MrSpreadHost *host, const char *name, GString *bytes)
+spread_send (MrReplicationHost *host, const char *name, GString *bytes)
 {
   Daemon *d = of_spread (host);
   int to = name[1] - '0';
@@ -114,7 +114,7 @@
 }
 
 guint
-spread_neighbours (MrSpreadHost *host, const char **names)
+spread_neighbours (MrReplicationHost *host, const char **names)
 {
   Daemon *d = of_spread (host);
   names[0] = d->world->daemons[(d->index + 1) % DAEMONS].name.c_str ();
@@ -124,7 +124,7 @@
 
 // The checker: what comes into force at a daemon.
 void
-spread_taken (MrSpreadHost *host, const MrObject *object)
+spread_taken (MrReplicationHost *host, const MrObject *object)
 {
   Daemon *d = of_spread (host);
   World *w = d->world;
@@ -140,8 +140,8 @@
     w->broken = "an invalid document came into force";
   d->in_force = accepted.source;
   mr_accepted_clear (&accepted);
-  mr_controller_read (d->controller, w->now, "accepted", mr_text (NAME), object->version,
-                      mr_text_of (object->body));
+  mr_controller_object_read (d->controller, w->now, "accepted", mr_text (NAME), object->version,
+                             mr_text_of (object->body));
 }
 
 World::World ()
@@ -167,7 +167,7 @@
   d.controller_host = { controller_write, controller_read };
   d.spread_host = { spread_send, spread_neighbours, spread_taken };
   d.registry = mr_registry_new ();
-  d.spread = mr_spread_new (&d.spread_host, d.registry, d.name.c_str ());
+  d.spread = mr_replication_new (&d.spread_host, d.registry, d.name.c_str ());
   d.controller = mr_controller_new (&d.controller_host);
   d.in_force = 0;
 }
@@ -176,7 +176,7 @@
 World::death (Daemon &d)
 {
   mr_controller_free (d.controller);
-  mr_spread_free (d.spread);
+  mr_replication_free (d.spread);
   mr_registry_free (d.registry);
   d.replies.clear ();
   d.inbox.clear ();
@@ -247,11 +247,11 @@
   Reply document = read ("documents");
   Reply accepted = read ("accepted");
   if (document.version > 0)
-    mr_controller_document (d.controller, mr_text (NAME), document.version,
-                            mr_text (document.body.c_str ()), now);
+    mr_controller_document_changed (d.controller, mr_text (NAME), document.version,
+                                    mr_text (document.body.c_str ()), now);
   if (accepted.version > 0)
-    mr_spread_offer (d.spread, MR_OBJECT_ACCEPTED, mr_text (NAME), accepted.version,
-                     mr_text (accepted.body.c_str ()), nullptr);
+    mr_replication_offer (d.spread, MR_OBJECT_ACCEPTED, mr_text (NAME), accepted.version,
+                          mr_text (accepted.body.c_str ()), nullptr);
 }
 
 void
@@ -267,20 +267,20 @@
           broken = "a message of ours can't be read";
           continue;
         }
-      mr_spread_receive (d.spread, now, &message);
+      mr_replication_receive (d.spread, now, &message);
       mr_wire_message_clear (&message);
     }
   auto replies = std::move (d.replies);
   d.replies.clear ();
   for (auto &r : replies)
     if (r.read)
-      mr_controller_read (d.controller, now, r.kind.c_str (), mr_text (NAME), r.version,
-                          mr_text (r.body.c_str ()));
+      mr_controller_object_read (d.controller, now, r.kind.c_str (), mr_text (NAME), r.version,
+                                 mr_text (r.body.c_str ()));
     else
-      mr_controller_written (d.controller, now, r.kind.c_str (), mr_text (NAME), r.status,
-                             r.version);
+      mr_controller_object_written (d.controller, now, r.kind.c_str (), mr_text (NAME), r.status,
+                                    r.version);
   mr_controller_tick (d.controller, now);
-  mr_spread_tick (d.spread, now);
+  mr_replication_tick (d.spread, now);
 }
 
 void
@@ -292,8 +292,8 @@
   for (auto &d : daemons)
     for (auto &other : daemons)
       if (d.index != other.index && !cut[other.index][d.index])
-        mr_spread_digest (d.spread, now, other.name.c_str (), mr_registry_digest (other.registry),
-                          FALSE);
+        mr_replication_receive_digest (d.spread, now, other.name.c_str (),
+                                       mr_registry_digest (other.registry), FALSE);
 }
 
 void
--- a/test/prop_wire.cpp
+++ b/test/prop_wire.cpp
@@ -22,7 +22,7 @@
   m.peer_port = 1 + n;
   m.http_port = 2 + n;
   m.state = (MrMemberState) (n % 5);
-  m.refutations = (guint32) n;
+  m.state_version = (guint32) n;
   m.busy = n % 2;
   return m;
 }
@@ -77,8 +77,8 @@
   news[1].kind = MR_OBJECT_VM;
   constexpr guint MANY = 60; // enough that it pays to compress them
   std::vector<MrNews> many (MANY, news[0]);
-  MrRange range = { (guint64) n << 40, 10 };
-  guint64 digests[MR_RANGE_PARTS] = { (guint64) n, 1 };
+  MrHashRange range = { (guint64) n << 40, 10 };
+  guint64 digests[MR_HASH_RANGE_PARTS] = { (guint64) n, 1 };
   char name[] = "shop";
   GString *body = g_string_new ("{\"a\":1}");
   MrObject object = {};
@@ -103,7 +103,7 @@
     {
     case 0:
       h.from = member (n);
-      h.number = (guint64) n;
+      h.ping_id = (guint64) n;
       h.updates = updates;
       h.update_count = (guint) n % 4;
       out = take (mr_wire_heartbeat ("d1", &h));
@@ -137,7 +137,7 @@
       break;
     case 10:
       h.from = member (n);
-      h.list = TRUE;
+      h.is_full_list = TRUE;
       h.updates = updates;
       h.update_count = 3;
       out = take (mr_wire_heartbeat ("d1", &h));
@@ -185,13 +185,13 @@
                     MrMember update = member (*rc::gen::inRange (0, 30000));
                     h.from = member (*rc::gen::inRange (0, 30000));
                     h.kind = MR_HEARTBEAT_ACK;
-                    h.digest = *rc::gen::arbitrary<guint64> ();
+                    h.registry_digest = *rc::gen::arbitrary<guint64> ();
                     h.updates = &update;
                     h.update_count = 1;
                     std::string bytes = take (mr_wire_heartbeat ("d9", &h));
                     MrWireMessage m;
                     RC_ASSERT (mr_wire_decode ({ bytes.data (), bytes.size () }, &m) == MR_OK);
-                    RC_ASSERT (m.heartbeat.digest == h.digest);
+                    RC_ASSERT (m.heartbeat.registry_digest == h.registry_digest);
                     RC_ASSERT (m.heartbeat.kind == MR_HEARTBEAT_ACK);
                     RC_ASSERT (memcmp (&m.heartbeat.updates[0], &update, sizeof update) == 0);
                     mr_wire_message_clear (&m);
--- a/test/relay_world.c
+++ b/test/relay_sim.c
@@ -1,4 +1,4 @@
-#include "relay_world.h"
+#include "relay_sim.h"
 
 #include <math.h>
 
@@ -65,7 +65,7 @@
   GQueue queue; /* Call */
   MrTime paused_until;
   MrTime pause_at;
-  WorldTrouble trouble;
+  SimFaultType trouble;
   double factor;
   MrTime leaving_at; /* listed as leaving or gone; 0: not */
   MrTime cold_until;
@@ -96,7 +96,7 @@
   MrTime arrived;
   MrTime deadline;
   MrTime gone_at; /* 0: it waits */
-  MrRelayWork *work;
+  MrActiveRequest *work;
   gboolean ended;
   guint ran; /* calls that ran, of an unsafe request */
   gboolean crasher;
@@ -127,24 +127,24 @@
 
 struct World
 {
-  const WorldPlan *plan;
-  WorldResult *result;
+  const SimPlan *plan;
+  SimResult *result;
   GRand *random;
   GSequence *events;
   guint64 order;
   MrTime now;
   MrTime end;
   MrConfiguration *configuration;
-  const MrRoute *routes[WORLD_ROUTES_MAX];
-  Daemon daemons[WORLD_DAEMONS_MAX];
-  Target targets[WORLD_TARGETS_MAX];
+  const MrRoute *routes[SIM_ROUTES_MAX];
+  Daemon daemons[SIM_DAEMONS_MAX];
+  Target targets[SIM_TARGETS_MAX];
   guint target_count;
   Ledger *ledgers;
   GPtrArray *calls;
-  GHashTable *by_id[WORLD_DAEMONS_MAX]; /* call id -> Call */
+  GHashTable *by_id[SIM_DAEMONS_MAX]; /* call id -> Call */
   GPtrArray *asks;
-  MrTime third_crash;                 /* 0: not yet */
-  MrTime evacuated_at[WORLD_DOMAINS]; /* 0: it is not */
+  MrTime third_crash;               /* 0: not yet */
+  MrTime evacuated_at[SIM_DOMAINS]; /* 0: it is not */
   GPtrArray *news;
 };
 
@@ -184,9 +184,9 @@
 static void
 S_start_work (World *w, Target *target, Call *call)
 {
-  double mean = w->plan->routes[call->ask->route].work_ms;
+  double mean = w->plan->routes[call->ask->route].service_time_ms;
   double work = mean / 2 + S_exponential (w, mean / 2);
-  if (target->trouble == WORLD_SLOW)
+  if (target->trouble == SIM_FAULT_SLOW)
     work *= target->factor;
   target->busy++;
   call->running = TRUE;
@@ -194,7 +194,7 @@
   call->ask->ran++;
   MrTime begin = MAX (w->now, target->paused_until);
   if (call->ask->crasher)
-    S_at (w, begin + S_ms (w->plan->crasher.crash_ms * (0.5 + g_rand_double (w->random))),
+    S_at (w, begin + S_ms (w->plan->poison.time_to_crash_ms * (0.5 + g_rand_double (w->random))),
           EVENT_CRASH, call, 0);
   else
     S_at (w, begin + S_ms (work), EVENT_FINISH, call, 0);
@@ -238,25 +238,25 @@
 S_withdraw (World *w, const Target *target)
 {
   for (guint i = 0; i < w->plan->daemons; i++)
-    mr_relay_target_gone (w->daemons[i].relay, w->now, target->id);
+    mr_relay_remove_target (w->daemons[i].relay, w->now, target->id);
 }
 
 static void
 S_on_crash (World *w, const Call *cause)
 {
   Target *target = cause->target;
-  if (cause->lost || (cause->dropped && !w->plan->crasher.goes_on))
+  if (cause->lost || (cause->dropped && !w->plan->poison.crashes_after_disconnect))
     return;
-  target->trouble = WORLD_REFUSES;
+  target->trouble = SIM_FAULT_REFUSES_CONNECTIONS;
   S_end_process (w, target);
-  if (++w->result->crashed == 3)
+  if (++w->result->poison_crashes == 3)
     w->third_crash = w->now;
-  if (w->plan->crasher.withdrawn)
+  if (w->plan->poison.removes_target)
     {
       S_withdraw (w, target);
       return;
     }
-  S_at (w, w->now + S_ms (w->plan->crasher.back_ms), EVENT_BACK, NULL, target->index);
+  S_at (w, w->now + S_ms (w->plan->poison.restart_ms), EVENT_BACK, NULL, target->index);
 }
 
 static void
@@ -266,14 +266,14 @@
     return;
   target->paused_until = target->pause_at + S_ms (w->plan->pause_ms);
   while (target->pause_at <= w->now)
-    target->pause_at += S_ms (w->plan->pause_gap_ms);
+    target->pause_at += S_ms (w->plan->pause_interval_ms);
 }
 
 static gboolean
 S_takes_no_connections (const Target *target)
 {
-  return target->trouble == WORLD_REFUSES || target->trouble == WORLD_GONE ||
-         target->trouble == WORLD_ENDS || target->trouble == WORLD_VANISHES;
+  return target->trouble == SIM_FAULT_REFUSES_CONNECTIONS || target->trouble == SIM_FAULT_REMOVED ||
+         target->trouble == SIM_FAULT_CRASHED || target->trouble == SIM_FAULT_CRASHED_AND_REMOVED;
 }
 
 /* What a target sees: the first call of a request, or one more. */
@@ -284,12 +284,12 @@
   guint shard = call->target->shard;
   if (ask->crasher)
     {
-      w->result->crasher_calls++;
-      if (w->third_crash && w->now > w->third_crash + S_ms (WORLD_NEWS_MS))
-        w->result->crasher_late++;
+      w->result->poison_calls++;
+      if (w->third_crash && w->now > w->third_crash + S_ms (SIM_EVIDENCE_SPREAD_MS))
+        w->result->poison_calls_late++;
     }
-  if (call->target->index % WORLD_DOMAINS != call->daemon->index % WORLD_DOMAINS)
-    w->result->far_calls++;
+  if (call->target->index % SIM_DOMAINS != call->daemon->index % SIM_DOMAINS)
+    w->result->cross_domain_calls++;
   if (ask->sends[shard]++ > 0)
     {
       w->result->extra_calls++;
@@ -299,11 +299,11 @@
     w->result->first_calls++;
   guint64 bit = S_bit (w, call->target);
   if (ask->held[shard] & bit)
-    w->result->over_attempts++; /* it has not said that it did not run the one before */
+    w->result->excess_attempts++; /* it has not said that it did not run the one before */
   ask->seen[shard] |= bit;
   ask->held[shard] |= bit;
   if ((guint) __builtin_popcountll (ask->seen[shard]) > w->plan->attempts)
-    w->result->over_attempts++;
+    w->result->excess_attempts++;
 }
 
 static void
@@ -317,22 +317,22 @@
        first = g_queue_peek_head (&target->cold_calls))
     g_free (g_queue_pop_head (&target->cold_calls));
   if (w->plan->cold_rate > 0 && target->cold_calls.length > most)
-    w->result->cold_over = MAX (w->result->cold_over, target->cold_calls.length - (guint) most);
+    w->result->cold_excess = MAX (w->result->cold_excess, target->cold_calls.length - (guint) most);
 }
 
 static void
 S_on_reach (World *w, Call *call)
 {
   Target *target = call->target;
-  MrTime evacuated_at = w->evacuated_at[target->index % WORLD_DOMAINS];
+  MrTime evacuated_at = w->evacuated_at[target->index % SIM_DOMAINS];
   S_note_pause (w, target);
   if (call->dropped)
     return;
   if (evacuated_at != 0 && w->now > evacuated_at + ONE_WAY_US)
-    w->result->after_evacuated++;
+    w->result->calls_after_evacuation++;
   if (w->now < target->cold_until)
     S_note_cold (w, target);
-  if (target->trouble == WORLD_DARK)
+  if (target->trouble == SIM_FAULT_UNRESPONSIVE)
     return;
   if (S_takes_no_connections (target))
     {
@@ -340,7 +340,7 @@
       return;
     }
   S_note_arrival (w, call);
-  if (target->trouble == WORLD_SHEDS && g_rand_double (w->random) < target->factor)
+  if (target->trouble == SIM_FAULT_SHEDS && g_rand_double (w->random) < target->factor)
     S_reply (w, call, MR_CALL_SHED);
   else if (target->busy < w->plan->slots)
     S_start_work (w, target, call);
@@ -371,12 +371,12 @@
   if (call->lost)
     return;
   S_free_slot (w, call);
-  if (call->dropped || target->trouble == WORLD_DARK)
+  if (call->dropped || target->trouble == SIM_FAULT_UNRESPONSIVE)
     return;
   gboolean bad = g_rand_double (w->random) < target->factor;
-  if (target->trouble == WORLD_ERRORS && bad)
+  if (target->trouble == SIM_FAULT_ERRORS && bad)
     S_reply (w, call, MR_CALL_ERROR);
-  else if (target->trouble == WORLD_BREAKS && bad)
+  else if (target->trouble == SIM_FAULT_LOSES_RESPONSES && bad)
     S_reply (w, call, MR_CALL_BROKEN);
   else
     S_reply (w, call, MR_CALL_ANSWER);
@@ -398,7 +398,7 @@
 {
   Daemon *daemon = (Daemon *) host;
   World *w = daemon->world;
-  Ask *ask = out->request;
+  Ask *ask = out->host_request;
   Target *target = NULL;
   for (guint i = 0; i < w->target_count && !target; i++)
     if (g_str_equal (w->targets[i].id, out->target->id))
@@ -408,9 +408,9 @@
   g_ptr_array_add (w->calls, call);
   g_hash_table_insert (w->by_id[daemon->index], &call->id, call);
   if (out->deadline > ask->deadline)
-    w->result->longer_than_left++;
+    w->result->deadlines_extended++;
   if (target->leaving_at && w->now > target->leaving_at + LEAVING_US)
-    w->result->after_leaving++;
+    w->result->calls_after_leaving++;
   call->sent_at = w->now + S_ms (w->plan->connect_ms);
   S_at (w, call->sent_at + ONE_WAY_US, EVENT_REACH, call, 0);
 }
@@ -433,7 +433,7 @@
   Call *call = g_hash_table_lookup (daemon->world->by_id[daemon->index], &id);
   call->dropped = TRUE;
   /* Most targets drop the work of a connection that closes. */
-  if (call->ask->crasher && call->running && !daemon->world->plan->crasher.goes_on)
+  if (call->ask->crasher && call->running && !daemon->world->plan->poison.crashes_after_disconnect)
     S_free_slot (daemon->world, call);
 }
 
@@ -462,7 +462,7 @@
   News *news = g_new (News, 1);
   *news = (News){ daemon->index, fingerprint, *evidence };
   g_ptr_array_add (w->news, news);
-  S_at (w, w->now + S_ms (w->plan->news_ms), EVENT_NEWS, news, 0);
+  S_at (w, w->now + S_ms (w->plan->evidence_delay_ms), EVENT_NEWS, news, 0);
 }
 
 static void
@@ -471,7 +471,7 @@
   for (guint i = 0; i < w->plan->daemons; i++)
     if (i != news->from)
       {
-        mr_relay_evidence (w->daemons[i].relay, w->now, news->fingerprint, &news->evidence);
+        mr_relay_merge_evidence (w->daemons[i].relay, w->now, news->fingerprint, &news->evidence);
         S_wake (&w->daemons[i], w->now);
       }
 }
@@ -490,7 +490,7 @@
 {
   World *w = ask->world;
   if (result->verdict <= MR_VERDICT_MERGE)
-    w->result->crasher_served++;
+    w->result->poison_served++;
   else if (ask->repeats > 0)
     S_at (w, w->now + 2 * ONE_WAY_US, EVENT_CRASHER, GUINT_TO_POINTER (ask->content),
           ask->repeats - 1);
@@ -505,8 +505,8 @@
       S_note_crasher (ask, result);
       return;
     }
-  WorldKind *kind = &w->result->kinds[ask->route];
-  const WorldRoute *route = &w->plan->routes[ask->route];
+  SimRouteStats *kind = &w->result->routes[ask->route];
+  const SimRoute *route = &w->plan->routes[ask->route];
   if (result->cause == MR_CAUSE_QUARANTINED)
     kind->quarantined++;
   MrTime took = w->now - ask->arrived;
@@ -526,13 +526,13 @@
   for (guint i = 0; i < result->part_count; i++)
     have += result->answers[i] != NULL;
   double share = (double) have / result->part_count;
-  if (have + result->missing != result->part_count || share < route->least_share)
-    w->result->shards_wrong++;
-  kind->missing += (double) result->missing / result->part_count;
+  if (have + result->missing_parts != result->part_count || share < route->min_coverage)
+    w->result->wrong_shard_counts++;
+  kind->missing_shards += (double) result->missing_parts / result->part_count;
   /* The caller's clock runs for some 12 ms more: its connection and the way. */
-  gboolean in_time = took + 12 * MR_MS <= S_ms (route->aim_ms);
-  in_time ? kind->in_time++ : kind->late++;
-  kind->credit += share * share * (in_time ? 1 : 0.1);
+  gboolean in_time = took + 12 * MR_MS <= S_ms (route->latency_goal_ms);
+  in_time ? kind->on_time++ : kind->late++;
+  kind->utility += share * share * (in_time ? 1 : 0.1);
 }
 
 static void
@@ -559,7 +559,7 @@
 static void
 S_next_arrival (World *w, guint route)
 {
-  double gap = S_exponential (w, 1e6 / w->plan->routes[route].per_second);
+  double gap = S_exponential (w, 1e6 / w->plan->routes[route].requests_per_second);
   S_at (w, w->now + (MrTime) gap, EVENT_ARRIVE, NULL, route);
 }
 
@@ -586,24 +586,24 @@
 static void
 S_submit (World *w, Ask *ask)
 {
-  const WorldRoute *route = &w->plan->routes[ask->route];
+  const SimRoute *route = &w->plan->routes[ask->route];
   ask->arrived = w->now;
   ask->deadline = w->now + S_ms (route->deadline_ms);
   ask->sends = g_new0 (guint8, w->plan->shards);
   ask->seen = g_new0 (guint64, w->plan->shards);
   ask->held = g_new0 (guint64, w->plan->shards);
   g_ptr_array_add (w->asks, ask);
-  guint parts = route->least_share > 0 ? w->plan->shards : 1;
+  guint parts = route->min_coverage > 0 ? w->plan->shards : 1;
   for (guint i = 0; i < parts; i++)
     g_array_append_val (w->ledgers[i].requests, w->now);
-  MrRelayRequest request = {
-    .request = ask,
+  MrRelayRequestParams request = {
+    .host_request = ask,
     .configuration = w->configuration,
     .route = w->routes[ask->route],
     .deadline = ask->deadline,
     .fingerprint = S_fingerprint (w, ask),
   };
-  MrRelayWork *work = mr_relay_submit (ask->daemon->relay, w->now, &request);
+  MrActiveRequest *work = mr_relay_submit (ask->daemon->relay, w->now, &request);
   if (work && !ask->ended)
     ask->work = work;
   S_wake (ask->daemon, w->now);
@@ -612,22 +612,22 @@
 static void
 S_on_arrive (World *w, guint index)
 {
-  const WorldRoute *route = &w->plan->routes[index];
+  const SimRoute *route = &w->plan->routes[index];
   if (w->now >= w->end)
     return;
   S_next_arrival (w, index);
   Ask *ask = S_ask_new (w, index);
-  ask->popular = w->plan->popular > 0 && g_rand_double (w->random) < w->plan->popular;
-  w->result->kinds[index].asked++;
-  if (g_rand_double (w->random) < w->plan->give_up)
-    S_at (w, w->now + S_ms (route->aim_ms / 2), EVENT_GIVE_UP, ask, 0);
+  ask->popular = w->plan->popular_ratio > 0 && g_rand_double (w->random) < w->plan->popular_ratio;
+  w->result->routes[index].requests++;
+  if (g_rand_double (w->random) < w->plan->abandon_ratio)
+    S_at (w, w->now + S_ms (route->latency_goal_ms / 2), EVENT_GIVE_UP, ask, 0);
   S_submit (w, ask);
 }
 
 static void
 S_on_crasher (World *w, guint content, guint repeats)
 {
-  Ask *ask = S_ask_new (w, w->plan->crasher.route);
+  Ask *ask = S_ask_new (w, w->plan->poison.route);
   ask->crasher = TRUE;
   ask->content = content;
   ask->repeats = repeats;
@@ -641,8 +641,8 @@
     return;
   ask->ended = TRUE;
   ask->gone_at = w->now;
-  w->result->kinds[ask->route].gone++;
-  mr_relay_forget (ask->daemon->relay, w->now, ask->work);
+  w->result->routes[ask->route].abandoned++;
+  mr_relay_abandon_request (ask->daemon->relay, w->now, ask->work);
 }
 
 /* Troubles. */
@@ -656,17 +656,17 @@
   info.connections = w->plan->connections;
   g_strlcpy (info.id, target->id, sizeof info.id);
   g_strlcpy (info.ip, "10.0.0.1", sizeof info.ip);
-  g_snprintf (info.domain, sizeof info.domain, "d%u", target->index % WORLD_DOMAINS);
+  g_snprintf (info.domain, sizeof info.domain, "d%u", target->index % SIM_DOMAINS);
   for (guint i = 0; i < w->plan->daemons; i++)
-    mr_relay_target (w->daemons[i].relay, w->now, service, &info, leaving, cold_for);
+    mr_relay_update_target (w->daemons[i].relay, w->now, service, &info, leaving, cold_for);
 }
 
 /* All daemons hear of it at once. */
 static void
-S_evacuate (World *w, const WorldEvent *event, gboolean begins)
+S_evacuate (World *w, const SimFault *event, gboolean begins)
 {
   g_autoptr (GHashTable) domains = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  for (guint i = 0; i < WORLD_DOMAINS; i++)
+  for (guint i = 0; i < SIM_DOMAINS; i++)
     {
       if (i >= event->first && i <= event->last)
         w->evacuated_at[i] = begins ? w->now : 0;
@@ -683,32 +683,32 @@
 static void
 S_on_trouble (World *w, guint index)
 {
-  const WorldEvent *event = &w->plan->events[index / 2];
+  const SimFault *event = &w->plan->faults[index / 2];
   gboolean begins = index % 2 == 0;
-  if (event->trouble == WORLD_EVACUATED)
+  if (event->type == SIM_FAULT_EVACUATED)
     {
       S_evacuate (w, event, begins);
       return;
     }
-  for (guint i = event->first; i <= event->last && i < w->target_count; i += MAX (event->every, 1))
+  for (guint i = event->first; i <= event->last && i < w->target_count; i += MAX (event->stride, 1))
     {
       Target *target = &w->targets[i];
-      target->trouble = begins ? event->trouble : WORLD_NO_TROUBLE;
+      target->trouble = begins ? event->type : SIM_FAULT_NONE;
       target->factor = begins ? event->factor : 0;
       if (!begins)
         continue;
-      if (event->trouble == WORLD_ENDS || event->trouble == WORLD_VANISHES)
+      if (event->type == SIM_FAULT_CRASHED || event->type == SIM_FAULT_CRASHED_AND_REMOVED)
         S_end_process (w, target);
-      if (event->trouble == WORLD_COLD && target->leaving_at == 0)
+      if (event->type == SIM_FAULT_COLD && target->leaving_at == 0)
         {
           target->cold_until = S_ms (event->to_ms);
           S_list (w, target, FALSE, target->cold_until - w->now);
         }
-      if (event->trouble == WORLD_GONE || event->trouble == WORLD_LEAVES)
+      if (event->type == SIM_FAULT_REMOVED || event->type == SIM_FAULT_LEAVING)
         target->leaving_at = w->now;
-      if (event->trouble == WORLD_LEAVES)
+      if (event->type == SIM_FAULT_LEAVING)
         S_list (w, target, TRUE, 0);
-      if (event->trouble == WORLD_GONE || event->trouble == WORLD_VANISHES)
+      if (event->type == SIM_FAULT_REMOVED || event->type == SIM_FAULT_CRASHED_AND_REMOVED)
         S_withdraw (w, target);
     }
 }
@@ -716,7 +716,7 @@
 /* Set-up. */
 
 static MrConfiguration *
-S_configure (const WorldPlan *plan)
+S_configure (const SimPlan *plan)
 {
   GString *json = g_string_new ("{\"version\":1,\"limits\":{\"head_bytes\":1,\"body_bytes\":1,"
                                 "\"head_time\":1,\"idle_time\":1},\"services\":[");
@@ -724,20 +724,20 @@
     g_string_append_printf (json, "%s{\"name\":\"s%u\",\"connections\":%u,\"cold_rate\":%f}",
                             i > 0 ? "," : "", i, plan->connections, plan->cold_rate);
   g_string_append (json, "],\"routes\":[");
-  for (guint r = 0; r < WORLD_ROUTES_MAX && plan->routes[r].per_second > 0; r++)
+  for (guint r = 0; r < SIM_ROUTES_MAX && plan->routes[r].requests_per_second > 0; r++)
     {
-      const WorldRoute *route = &plan->routes[r];
+      const SimRoute *route = &plan->routes[r];
       g_string_append_printf (json,
                               "%s{\"name\":\"r%u\",\"host\":\"h\",\"prefix\":\"/%u/\","
                               "\"repeatable\":%s,\"time_limit\":%f,\"aim\":%f,\"attempts\":%u,"
                               "\"rank\":%u,\"top_records\":5,\"least_share\":%f,",
                               r > 0 ? "," : "", r, r, route->unsafe ? "false" : "true",
-                              route->deadline_ms, route->aim_ms, plan->attempts, route->rank,
-                              route->least_share);
-      g_string_append (json, route->least_share > 0 ? "\"shards\":[" : "\"service\":\"s0\"}");
-      for (guint i = 0; i < plan->shards && route->least_share > 0; i++)
+                              route->deadline_ms, route->latency_goal_ms, plan->attempts,
+                              route->priority, route->min_coverage);
+      g_string_append (json, route->min_coverage > 0 ? "\"shards\":[" : "\"service\":\"s0\"}");
+      for (guint i = 0; i < plan->shards && route->min_coverage > 0; i++)
         g_string_append_printf (json, "%s\"s%u\"", i > 0 ? "," : "", i);
-      if (route->least_share > 0)
+      if (route->min_coverage > 0)
         g_string_append (json, "]}");
     }
   g_string_append (json, "]}");
@@ -750,22 +750,22 @@
 S_make_daemons (World *w)
 {
   static const MrRelayHost host = {
-    .call = S_on_call,
-    .drop = S_on_drop,
-    .take_back = S_on_take_back,
+    .send_call = S_on_call,
+    .close_call = S_on_drop,
+    .withdraw_call = S_on_take_back,
     .probe = S_on_probe,
-    .renew = S_on_renew,
-    .done = S_on_done,
+    .reconnect = S_on_renew,
+    .request_done = S_on_done,
     .free_answer = S_free_answer,
-    .evidence = S_on_evidence,
-    .may_probe = S_may_probe,
+    .publish_evidence = S_on_evidence,
+    .may_try_content = S_may_probe,
   };
   for (guint i = 0; i < w->plan->daemons; i++)
     {
       Daemon *daemon = &w->daemons[i];
       char domain[8];
-      g_snprintf (domain, sizeof domain, "d%u", i % WORLD_DOMAINS);
-      MrRelayInfo info = {
+      g_snprintf (domain, sizeof domain, "d%u", i % SIM_DOMAINS);
+      MrRelayOptions info = {
         .domain = domain,
         .policy = w->plan->policy ? w->plan->policy : &mr_relay_policy,
         .seed = w->plan->seed + i,
@@ -773,9 +773,9 @@
                     .ratio = RATIO_PERCENT / 100.0,
                     .allowance = ALLOWANCE,
                     .share = 1.0 / w->plan->daemons,
-                    .margin = MR_FLEET_MARGIN,
-                    .born = 0 },
-        .cold = { .factor = COLD_FACTOR, .slack = COLD_SLACK },
+                    .margin = MR_RESEND_BUDGET_MARGIN,
+                    .started_at = 0 },
+        .cold_limit = { .rate_factor = COLD_FACTOR, .slack = COLD_SLACK },
       };
       *daemon = (Daemon){ .host = host, .world = w, .index = i, .tick_at = MR_NEVER };
       daemon->relay = mr_relay_new (&daemon->host, &info);
@@ -797,7 +797,7 @@
     {
       Target *target = &w->targets[i];
       *target = (Target){ .index = i, .shard = i / w->plan->replicas };
-      target->pause_at = S_ms (g_rand_double (w->random) * w->plan->pause_gap_ms);
+      target->pause_at = S_ms (g_rand_double (w->random) * w->plan->pause_interval_ms);
       g_snprintf (target->id, sizeof target->id, "t%u", i);
       g_queue_init (&target->queue);
       S_list (w, target, FALSE, 0);
@@ -807,10 +807,10 @@
 static void
 S_plan_troubles (World *w)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (w->plan->events); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (w->plan->faults); i++)
     {
-      const WorldEvent *event = &w->plan->events[i];
-      if (event->trouble == WORLD_NO_TROUBLE)
+      const SimFault *event = &w->plan->faults[i];
+      if (event->type == SIM_FAULT_NONE)
         continue;
       S_at (w, S_ms (event->from_ms), EVENT_TROUBLE, NULL, 2 * i);
       if (event->to_ms > 0)
@@ -821,11 +821,11 @@
 static void
 S_plan_crasher (World *w)
 {
-  const WorldCrasher *crasher = &w->plan->crasher;
+  const SimPoisonRequest *crasher = &w->plan->poison;
   for (guint i = 0; i < crasher->count; i++)
     for (guint copy = 0; copy < MAX (crasher->copies, 1); copy++)
-      S_at (w, S_ms (crasher->from_ms + i * crasher->gap_ms), EVENT_CRASHER,
-            GUINT_TO_POINTER (crasher->varies ? i : 0), crasher->repeats);
+      S_at (w, S_ms (crasher->from_ms + i * crasher->interval_ms), EVENT_CRASHER,
+            GUINT_TO_POINTER (crasher->varying_content ? i : 0), crasher->caller_retries);
 }
 
 static void
@@ -874,12 +874,13 @@
       S_on_news (w, event->subject);
       break;
     case EVENT_BACK:
-      w->targets[event->index].trouble = WORLD_NO_TROUBLE;
+      w->targets[event->index].trouble = SIM_FAULT_NONE;
       break;
     case EVENT_PROBED:
       {
         const Target *target = &w->targets[event->index];
-        gboolean lives = target->trouble != WORLD_DARK && !S_takes_no_connections (target);
+        gboolean lives =
+            target->trouble != SIM_FAULT_UNRESPONSIVE && !S_takes_no_connections (target);
         mr_relay_probe_end (daemon->relay, w->now, target->id, lives);
         S_wake (daemon, w->now);
         break;
@@ -923,8 +924,8 @@
 S_check (World *w)
 {
   for (guint i = 0; i < w->plan->shards; i++)
-    w->result->worst_window_extra =
-        MAX (w->result->worst_window_extra, S_over_budget (&w->ledgers[i]));
+    w->result->max_budget_excess =
+        MAX (w->result->max_budget_excess, S_over_budget (&w->ledgers[i]));
   for (guint i = 0; i < w->asks->len; i++)
     {
       const Ask *ask = g_ptr_array_index (w->asks, i);
@@ -938,7 +939,7 @@
       const Call *call = g_ptr_array_index (w->calls, i);
       if (call->ask->gone_at && !w->plan->routes[call->ask->route].unsafe && !call->dropped &&
           call->outcome == MR_CALL_ANSWER && call->running)
-        w->result->after_gone++;
+        w->result->calls_after_abandon++;
     }
 }
 
@@ -981,10 +982,10 @@
 }
 
 void
-world_run (const WorldPlan *plan, WorldResult *result)
+sim_run (const SimPlan *plan, SimResult *result)
 {
   World *w = g_new0 (World, 1);
-  *result = (WorldResult){ 0 };
+  *result = (SimResult){ 0 };
   w->plan = plan;
   w->result = result;
   w->random = g_rand_new_with_seed (plan->seed);
@@ -999,17 +1000,17 @@
     w->ledgers[i] = (Ledger){ g_array_new (FALSE, FALSE, sizeof (MrTime)),
                               g_array_new (FALSE, FALSE, sizeof (MrTime)) };
   w->now = MR_SECOND;
-  w->end = w->now + (MrTime) (plan->seconds * (double) MR_SECOND);
+  w->end = w->now + (MrTime) (plan->duration_s * (double) MR_SECOND);
   w->configuration = S_configure (plan);
   S_make_daemons (w);
   S_make_targets (w);
   S_plan_troubles (w);
   S_plan_crasher (w);
-  for (guint r = 0; r < WORLD_ROUTES_MAX && plan->routes[r].per_second > 0; r++)
+  for (guint r = 0; r < SIM_ROUTES_MAX && plan->routes[r].requests_per_second > 0; r++)
     {
       char path[8];
       g_snprintf (path, sizeof path, "/%u/", r);
-      w->routes[r] = mr_configuration_match (w->configuration, MR_TEXT ("h"), mr_text (path));
+      w->routes[r] = mr_configuration_find_route (w->configuration, MR_TEXT ("h"), mr_text (path));
       S_next_arrival (w, r);
     }
   /* Everything has its verdict within the longest deadline after the last. */
--- a/test/soak/proxy.c
+++ b/test/soak/proxy.c
@@ -86,7 +86,7 @@
       return;
     }
   g_string_append_len (to->waiting, bytes.data, (gssize) bytes.len);
-  if (to->timer.place == 0)
+  if (to->timer.heap_index == 0)
     mr_timers_set (link->proxy->timers, &to->timer, mr_now () + DELAY);
 }
 
--- a/test/soak/soak.c
+++ b/test/soak/soak.c
@@ -154,7 +154,7 @@
       soak_disturb (s);
     }
   MrTime next = MIN (s->next_request, MIN (s->next_fault, now + 50 * MR_MS));
-  next = MIN (next, MIN (mr_timers_next (s->timers), mr_timers_next (s->proxy_timers)));
+  next = MIN (next, MIN (mr_timers_next_due (s->timers), mr_timers_next_due (s->proxy_timers)));
   s->next_tick = MAX (next, now);
   return s->next_tick;
 }
