--- a/test/test_joining.c
+++ b/test/test_bootstrap.c
@@ -53,22 +53,22 @@
       MrTime begin = fleet->now;
       g_autofree MrTime *starts = g_new (MrTime, layout.count);
       for (guint t = 0; t < OBJECTS; t++)
-        fleet_write (fleet, t);
+        fleet_write_target (fleet, t);
       fleet_start_all (fleet, cases[i].spread_ms * MR_MS, cases[i].seeds_last);
       for (guint n = 0; n < layout.count; n++)
-        starts[n] = fleet->nodes[n].starts;
+        starts[n] = fleet->nodes[n].start_at;
       fleet_run (fleet, 3 * MR_SECOND);
       for (guint n = 0; n < layout.count; n++)
         {
           const FleetNode *node = &fleet->nodes[n];
-          assert_true (node->ready != 0);
-          first = MIN (first, node->ready - begin);
-          slowest = MAX (slowest, node->ready - starts[n]);
+          assert_true (node->ready_at != 0);
+          first = MIN (first, node->ready_at - begin);
+          slowest = MAX (slowest, node->ready_at - starts[n]);
         }
       print_message ("%s: first ready after %d ms, each within %d ms, %u reads\n", cases[i].name,
-                     (int) (first / MR_MS), (int) (slowest / MR_MS), (guint) fleet->reads);
+                     (int) (first / MR_MS), (int) (slowest / MR_MS), (guint) fleet->store_reads);
       if (first > cases[i].first_ms * MR_MS || slowest > cases[i].each_ms * MR_MS ||
-          fleet->reads > cases[i].reads)
+          fleet->store_reads > cases[i].reads)
         fail_msg ("%s", cases[i].name);
       fleet_free (fleet);
     }
@@ -117,34 +117,36 @@
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      const FleetLayout layout = { .count = 295, .domains = 5, .seeds = 3, .strong_each = 3 };
+      const FleetLayout layout = {
+        .count = 295, .domains = 5, .seeds = 3, .large_vms_per_domain = 3
+      };
       Fleet *fleet = fleet_new (&layout);
       MrTime begin = fleet->now;
       MrTime strong = 0;
       MrTime small = 0;
       g_autofree MrTime *starts = g_new (MrTime, layout.count);
       for (guint t = 0; t < OBJECTS; t++)
-        fleet_write (fleet, t);
+        fleet_write_target (fleet, t);
       fleet_start_all (fleet, 300 * MR_MS, cases[i].seeds_last);
       for (guint n = 0; n < layout.count; n++)
-        starts[n] = fleet->nodes[n].starts;
+        starts[n] = fleet->nodes[n].start_at;
       MrTime known = fleet_run_until (fleet, S_all_know_large, 2 * MR_SECOND);
       fleet_run (fleet, 2 * MR_SECOND);
       for (guint n = 0; n < layout.count; n++)
         {
           const FleetNode *node = &fleet->nodes[n];
-          assert_true (node->ready != 0);
+          assert_true (node->ready_at != 0);
           if (node->self.capacity >= 500)
-            strong = MAX (strong, node->ready - starts[n]);
+            strong = MAX (strong, node->ready_at - starts[n]);
           else
-            small = MAX (small, node->ready - begin);
+            small = MAX (small, node->ready_at - begin);
         }
       print_message ("%s: large ones ready within %d ms and known after %d ms, all ready after"
                      " %d ms, %u reads\n",
                      cases[i].name, (int) (strong / MR_MS), (int) (known / MR_MS),
-                     (int) (small / MR_MS), (guint) fleet->reads);
+                     (int) (small / MR_MS), (guint) fleet->store_reads);
       if (strong > cases[i].strong_ms * MR_MS || small > cases[i].small_ms * MR_MS ||
-          known > cases[i].known_ms * MR_MS || fleet->reads > cases[i].reads)
+          known > cases[i].known_ms * MR_MS || fleet->store_reads > cases[i].reads)
         fail_msg ("%s", cases[i].name);
       fleet_free (fleet);
     }
@@ -169,12 +171,12 @@
   };
   (void) state;
   Fleet *fleet = fleet_new (&layout);
-  fleet_write (fleet, 0);
+  fleet_write_target (fleet, 0);
   fleet_start_all (fleet, 300 * MR_MS, FALSE);
   for (guint step = 0; step < SECONDS * 1000 / STEP_MS; step++)
     {
       for (guint t = 0; t < TARGETS_A_SECOND * STEP_MS / 1000; t++)
-        fleet_write (fleet, 1 + step * TARGETS_A_SECOND * STEP_MS / 1000 + t);
+        fleet_write_target (fleet, 1 + step * TARGETS_A_SECOND * STEP_MS / 1000 + t);
       fleet_run (fleet, STEP_MS * MR_MS);
     }
   fleet_run (fleet, 2 * MR_SECOND);
@@ -206,12 +208,12 @@
   (void) state;
   Fleet *fleet = fleet_new (&layout);
   for (guint t = 0; t < TARGETS; t++)
-    fleet_write (fleet, t);
+    fleet_write_target (fleet, t);
   fleet_start_all (fleet, 0, FALSE);
   fleet_run (fleet, 5 * MR_SECOND);
-  guint64 reads = fleet->reads;
+  guint64 reads = fleet->store_reads;
   guint restarted = 0;
-  fleet->layout.bodies_take = TAKE_MS * MR_MS;
+  fleet->layout.body_transfer_time = TAKE_MS * MR_MS;
   for (guint i = layout.seeds; i < MEMBERS && restarted < RESTARTED; i++)
     if (!fleet->nodes[i].watcher)
       {
@@ -224,18 +226,18 @@
     {
       fleet_run (fleet, 50 * MR_MS);
       for (guint i = 0; i < MEMBERS; i++)
-        if (fleet->nodes[i].membership && fleet->nodes[i].ready != 0)
+        if (fleet->nodes[i].membership && fleet->nodes[i].ready_at != 0)
           assert_int_equal (mr_registry_count (fleet->nodes[i].registry), TARGETS);
     }
   guint partial = 0;
   for (guint i = 0; i < MEMBERS; i++)
     {
-      assert_true (fleet->nodes[i].ready != 0);
+      assert_true (fleet->nodes[i].ready_at != 0);
       partial += mr_registry_count (fleet->nodes[i].registry) < TARGETS;
     }
   assert_int_equal (partial, 0);
-  print_message ("%u restarted: %u reads\n", restarted, (guint) (fleet->reads - reads));
-  assert_true (fleet->reads == reads);
+  print_message ("%u restarted: %u reads\n", restarted, (guint) (fleet->store_reads - reads));
+  assert_true (fleet->store_reads == reads);
   fleet_free (fleet);
 }
 
@@ -261,15 +263,15 @@
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      const MrJoiningInfo info = { .first_start = cases[i].first_start,
-                                   .random = 0.9,
-                                   .capacity = 500 };
-      const MrJoiningState self = { .self = "m0", .watcher = TRUE };
+      const MrBootstrapOptions info = { .first_start = cases[i].first_start,
+                                        .random = 0.9,
+                                        .capacity = 500 };
+      const MrBootstrapState self = { .self = "m0", .watcher = TRUE };
       MrRoster *roster = mr_roster_new ();
-      MrJoining joining;
+      MrBootstrap joining;
       MrTime start = 100 * MR_SECOND;
       MrTime now = start;
-      mr_joining_init (&joining, start, &info);
+      mr_bootstrap_init (&joining, start, &info);
       for (; now < start + 20 * MR_SECOND; now += MR_MS)
         {
           guint due = 1 + (guint) ((now - start) / (cases[i].gap_ms * MR_MS));
@@ -280,7 +282,7 @@
               g_strlcpy (member.domain, "d", sizeof member.domain);
               mr_roster_put (roster, &member);
             }
-          if (mr_joining_step (&joining, now, roster, &self).read)
+          if (mr_bootstrap_step (&joining, now, roster, &self).read_store)
             break;
         }
       MrTime after = (now - start) / MR_MS;
--- a/test/test_changes.c
+++ b/test/test_changes.c
@@ -33,11 +33,11 @@
 S_decide (MrRoster *roster, MrColdShare *share, MrTime now, const MrMember *member)
 {
   mr_roster_put (roster, member);
-  mr_cold_share_note (share, now, member);
+  mr_cold_share_on_member (share, now, member);
   MrEntryPlan plan = mr_entry_plan (roster, "m0");
   mr_cold_share_update (share, now, roster, &plan);
-  mr_watch_relay (roster, "m7");
-  mr_watch_first (roster, "m7");
+  mr_watch_is_relay_watcher (roster, "m7");
+  mr_watch_is_first_watcher (roster, "m7");
   mr_entry_plan_clear (&plan);
 }
 
@@ -57,7 +57,7 @@
           MrMember member = S_member (m);
           mr_roster_put (roster, &member);
         }
-      guint64 before = mr_roster_steps (roster);
+      guint64 before = mr_roster_work_count (roster);
       for (guint change = 0; change < CHANGES; change++)
         {
           MrMember member = S_member (change * 37 % sizes[i]);
@@ -67,7 +67,7 @@
           member.load = change;
           S_decide (roster, share, (1 + change) * MR_SECOND, &member);
         }
-      guint64 steps = (mr_roster_steps (roster) - before) / CHANGES;
+      guint64 steps = (mr_roster_work_count (roster) - before) / CHANGES;
       least = MIN (least, steps);
       print_message ("%u members: %u steps a change\n", sizes[i], (guint) steps);
       /* Twice for a search in an order of 200 times as many. */
@@ -146,7 +146,7 @@
       MrMember *member = &members[g_rand_int_range (random, 0, MEMBERS)];
       member->state = (MrMemberState) g_rand_int_range (random, 0, MR_MEMBER_DEAD + 1);
       member->busy = g_rand_boolean (random);
-      member->cut_off = g_rand_boolean (random);
+      member->platform_unreachable = g_rand_boolean (random);
       member->load = (guint32) g_rand_int_range (random, 0, 400);
       mr_roster_put (kept, member);
       MrRoster *made = mr_roster_new ();
@@ -155,14 +155,16 @@
       MrEntryPlan a = mr_entry_plan (kept, "m3");
       MrEntryPlan b = mr_entry_plan (made, "m3");
       assert_int_equal (mr_roster_count (kept), mr_roster_count (made));
-      assert_int_equal (mr_roster_usable (kept), mr_roster_usable (made));
-      assert_int_equal (mr_roster_load (kept), mr_roster_load (made));
+      assert_int_equal (mr_roster_usable_count (kept), mr_roster_usable_count (made));
+      assert_int_equal (mr_roster_total_load (kept), mr_roster_total_load (made));
       assert_int_equal (a.entries->len, b.entries->len);
       for (guint e = 0; e < a.entries->len; e++)
         assert_string_equal (((const MrMember *) a.entries->pdata[e])->name,
                              ((const MrMember *) b.entries->pdata[e])->name);
-      assert_true (mr_watch_relay (kept, "m3") == mr_watch_relay (made, "m3"));
-      assert_true (mr_watch_first (kept, "m3") == mr_watch_first (made, "m3"));
+      assert_true (mr_watch_is_relay_watcher (kept, "m3") ==
+                   mr_watch_is_relay_watcher (made, "m3"));
+      assert_true (mr_watch_is_first_watcher (kept, "m3") ==
+                   mr_watch_is_first_watcher (made, "m3"));
       assert_int_equal (mr_watch_rank (kept, "m3"), mr_watch_rank (made, "m3"));
       mr_entry_plan_clear (&a);
       mr_entry_plan_clear (&b);
--- a/test/test_cold.c
+++ b/test/test_cold.c
@@ -25,13 +25,13 @@
       for (MrTime now = MR_SECOND; now < 8 * MR_SECOND; now += cases[i].gap)
         if (mr_cold_window_allows (&window, now, cases[i].permits))
           {
-            mr_cold_window_note (&window, now);
+            mr_cold_window_add (&window, now);
             g_array_append_val (sent, now);
           }
       for (guint last = cases[i].permits; last < sent->len; last++)
         assert_true (g_array_index (sent, MrTime, last) -
                          g_array_index (sent, MrTime, last - cases[i].permits) >=
-                     MR_COLD_SPAN);
+                     MR_COLD_WINDOW);
       assert_true (cases[i].permits > 0 ? sent->len > 0 : sent->len == 0);
     }
 }
@@ -44,27 +44,29 @@
   static const struct
   {
     const char *name;
-    WorldPlan plan;
+    SimPlan plan;
     double least[2]; /* credit of each kind, as a share of what was asked */
   } cases[] = {
     { "a third turns cold while it serves",
-      { SITE, .cold_rate = 10, .events = { { WORLD_COLD, 0, 29, 3, 4000, 9000, 0 } } },
+      { SITE, .cold_rate = 10, .faults = { { SIM_FAULT_COLD, 0, 29, 3, 4000, 9000, 0 } } },
       { 0.93, 0.93 } },
     { "two thirds, one after the other",
       { SITE, .cold_rate = 10,
-        .events = { { WORLD_COLD, 0, 29, 3, 4000, 8000, 0 },
-                    { WORLD_COLD, 1, 29, 3, 6000, 10000, 0 } } },
+        .faults = { { SIM_FAULT_COLD, 0, 29, 3, 4000, 8000, 0 },
+                    { SIM_FAULT_COLD, 1, 29, 3, 6000, 10000, 0 } } },
       { 0.75, 0.75 } },
-    { "no bound", { SITE, .events = { { WORLD_COLD, 0, 29, 1, 4000, 9000, 0 } } }, { 0.95, 0.95 } },
+    { "no bound",
+      { SITE, .faults = { { SIM_FAULT_COLD, 0, 29, 1, 4000, 9000, 0 } } },
+      { 0.95, 0.95 } },
     { "a domain comes back from its evacuation cold",
       { SITE, .cold_rate = 10,
-        .events = { { WORLD_EVACUATED, 0, 0, 1, 4000, 8000, 0 },
-                    { WORLD_COLD, 0, 29, 3, 7900, 11000, 0 } } },
+        .faults = { { SIM_FAULT_EVACUATED, 0, 0, 1, 4000, 8000, 0 },
+                    { SIM_FAULT_COLD, 0, 29, 3, 7900, 11000, 0 } } },
       { 0.9, 0.9 } },
   };
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
-    expect_credit (cases[i].name, &cases[i].plan, cases[i].least);
+    expect_utility (cases[i].name, &cases[i].plan, cases[i].least);
 }
 
 int
--- a/test/test_control.c
+++ b/test/test_control.c
@@ -25,9 +25,9 @@
 {
   Fleet *fleet = fleet_new (layout);
   for (guint t = 0; t < TARGETS; t++)
-    fleet_write (fleet, t);
+    fleet_write_target (fleet, t);
   fleet_start_all (fleet, 300 * MR_MS, FALSE);
-  assert_true (fleet_run_until (fleet, fleet_agrees, MOST) != MR_NEVER);
+  assert_true (fleet_run_until (fleet, fleet_converged, MOST) != MR_NEVER);
   fleet_run (fleet, 10 * MR_SECOND);
   return fleet;
 }
@@ -50,7 +50,9 @@
     HEARTBEAT_MOST = 120, /* bytes */
   };
   (void) state;
-  const FleetLayout layout = { .count = LARGE, .domains = DOMAINS, .seeds = 3, .strong_each = 3 };
+  const FleetLayout layout = {
+    .count = LARGE, .domains = DOMAINS, .seeds = 3, .large_vms_per_domain = 3
+  };
   Fleet *fleet = S_running (&layout);
   fleet_clear_counts (fleet);
   fleet_run (fleet, SECONDS * MR_SECOND);
@@ -83,12 +85,14 @@
     CROSSINGS_MOST = 5, /* of each body */
   };
   (void) state;
-  const FleetLayout layout = { .count = LARGE, .domains = DOMAINS, .seeds = 3, .strong_each = 3 };
+  const FleetLayout layout = {
+    .count = LARGE, .domains = DOMAINS, .seeds = 3, .large_vms_per_domain = 3
+  };
   Fleet *fleet = S_running (&layout);
   fleet_clear_counts (fleet);
   for (guint t = 0; t < CHANGES; t++)
     {
-      fleet_write (fleet, t);
+      fleet_write_target (fleet, t);
       fleet_run (fleet, 20 * MR_MS);
     }
   MrTime agreed = fleet_run_until (fleet, fleet_objects_agree, MOST);
@@ -116,16 +120,16 @@
   const FleetLayout layout = { .count = 2, .domains = 1, .seeds = 1 };
   Fleet *fleet = fleet_new (&layout);
   for (guint t = 0; t < OBJECTS; t++)
-    fleet_write (fleet, t);
+    fleet_write_target (fleet, t);
   fleet_start_all (fleet, 0, FALSE);
-  assert_true (fleet_run_until (fleet, fleet_agrees, MOST) != MR_NEVER);
+  assert_true (fleet_run_until (fleet, fleet_converged, MOST) != MR_NEVER);
   fleet_run (fleet, 5 * MR_SECOND);
   fleet_clear_counts (fleet);
   /* Taken by one without a word to the other, as if the message had been lost. */
   FleetNode *one = &fleet->nodes[0];
   mr_registry_offer (one->registry, MR_OBJECT_TARGET, MR_TEXT ("i-new"), 4 * OBJECTS * 4,
                      MR_TEXT ("{}"));
-  mr_membership_set_digest (one->membership, mr_registry_digest (one->registry));
+  mr_membership_set_registry_digest (one->membership, mr_registry_digest (one->registry));
   fleet_run (fleet, 5 * MR_SECOND);
   assert_true (mr_registry_digest (one->registry) == mr_registry_digest (fleet->nodes[1].registry));
   guint64 bytes = 0;
@@ -141,14 +145,14 @@
 static void
 S_change (Fleet *fleet)
 {
-  fleet_write (fleet, 0);
+  fleet_write_target (fleet, 0);
 }
 
 static void
 S_exchange (Fleet *fleet)
 {
   for (guint t = 0; t < TARGETS / 2; t++)
-    fleet_write (fleet, t);
+    fleet_write_target (fleet, t);
 }
 
 static void
@@ -169,7 +173,7 @@
 S_domain_without_store (Fleet *fleet)
 {
   fleet->store_cut[1] = TRUE;
-  fleet_write (fleet, 0);
+  fleet_write_target (fleet, 0);
 }
 
 static void
@@ -256,11 +260,11 @@
                                    .domains = DOMAINS,
                                    .regions = 2,
                                    .seeds = 3,
-                                   .strong_each = 2,
-                                   .lone = cases[i].lone };
+                                   .large_vms_per_domain = 2,
+                                   .last_vm_alone = cases[i].lone };
       Fleet *fleet = S_running (&layout);
       cases[i].begin (fleet);
-      MrTime took = fleet_run_until (fleet, fleet_agrees, MOST);
+      MrTime took = fleet_run_until (fleet, fleet_converged, MOST);
       print_message ("%s: %.2f s\n", cases[i].name, (double) took / MR_SECOND);
       if (took > (MrTime) (cases[i].seconds * MR_SECOND))
         fail_msg ("%s", cases[i].name);
@@ -281,8 +285,8 @@
 S_find_evidence (Fleet *fleet, guint index)
 {
   FleetNode *node = &fleet->nodes[index];
-  mr_spread_offer (node->spread, MR_OBJECT_EVIDENCE, mr_text (content), EVIDENCE, (MrText){ 0 },
-                   NULL);
+  mr_replication_offer (node->spread, MR_OBJECT_EVIDENCE, mr_text (content), EVIDENCE,
+                        (MrText){ 0 }, NULL);
   node->due = 0;
 }
 
@@ -330,7 +334,7 @@
                                    .domains = cases[i].count < DOMAINS * 2 ? 3 : DOMAINS,
                                    .regions = 2,
                                    .seeds = 3,
-                                   .strong_each = cases[i].count < DOMAINS * 2 ? 0 : 2 };
+                                   .large_vms_per_domain = cases[i].count < DOMAINS * 2 ? 0 : 2 };
       Fleet *fleet = S_running (&layout);
       S_find_evidence (fleet, cases[i].count - 1);
       if (cases[i].meanwhile)
--- a/test/test_decisions.c
+++ b/test/test_decisions.c
@@ -1,13 +1,13 @@
 /* Small decision modules, each as a table of cases on a virtual clock. */
 
-#include "budget.h"
 #include "burn.h"
+#include "concurrency_limit.h"
 #include "health.h"
 #include "histogram.h"
-#include "limit.h"
 #include "orders.h"
 #include "owner.h"
 #include "registry.h"
+#include "resend_budget.h"
 #include "result.h"
 #include "watch.h"
 
@@ -37,7 +37,7 @@
                       truth);
         }
       mr_histogram_decay (&h);
-      assert_true (h.total <= 1000);
+      assert_true (h.count <= 1000);
     }
 }
 
@@ -45,35 +45,35 @@
 test_budget (void **state)
 {
   (void) state;
-  MrWindowBudget budget = { 0 };
-  MrWindowTerms terms = {
+  MrResendBudget budget = { 0 };
+  MrResendBudgetConfig terms = {
     .window = 10 * MR_SECOND,
     .ratio = 0.05,
     .allowance = 20,
     .share = 1,
     .margin = 1,
-    .born = -10 * MR_SECOND,
+    .started_at = -10 * MR_SECOND,
   };
   guint spent = 0;
   /* 1,000 first calls at 5 % earn 50 beside the allowance, whatever is asked for. */
   for (int i = 0; i < 1000; i++)
     {
-      mr_window_budget_request (&budget, &terms, MR_SECOND);
-      spent += mr_window_budget_spend (&budget, &terms, MR_SECOND, 1);
+      mr_resend_budget_add_request (&budget, &terms, MR_SECOND);
+      spent += mr_resend_budget_try_spend (&budget, &terms, MR_SECOND, 1);
     }
-  while (mr_window_budget_spend (&budget, &terms, MR_SECOND, 1))
+  while (mr_resend_budget_try_spend (&budget, &terms, MR_SECOND, 1))
     spent++;
   assert_int_equal (spent, 50 + 20);
   /* A busy hour can't pay for a burst after it: a window later it is forgotten. */
-  for (spent = 0; mr_window_budget_spend (&budget, &terms, 20 * MR_SECOND, 1); spent++)
+  for (spent = 0; mr_resend_budget_try_spend (&budget, &terms, 20 * MR_SECOND, 1); spent++)
     ;
   assert_int_equal (spent, 20);
   /* A quiet service can still repair a failure now and then. */
-  assert_false (mr_window_budget_spend (&budget, &terms, 20 * MR_SECOND, 1));
-  assert_false (mr_window_budget_spend (&budget, &terms, 29 * MR_SECOND, 1));
-  assert_true (mr_window_budget_spend (&budget, &terms, 31 * MR_SECOND, 1));
+  assert_false (mr_resend_budget_try_spend (&budget, &terms, 20 * MR_SECOND, 1));
+  assert_false (mr_resend_budget_try_spend (&budget, &terms, 29 * MR_SECOND, 1));
+  assert_true (mr_resend_budget_try_spend (&budget, &terms, 31 * MR_SECOND, 1));
   /* Hedges leave what is kept for failures. */
-  for (spent = 0; mr_window_budget_spend (&budget, &terms, 50 * MR_SECOND, 0.75); spent++)
+  for (spent = 0; mr_resend_budget_try_spend (&budget, &terms, 50 * MR_SECOND, 0.75); spent++)
     ;
   assert_int_equal (spent, 15);
 }
@@ -82,25 +82,25 @@
 test_limit (void **state)
 {
   (void) state;
-  MrLimit limit;
-  mr_limit_init (&limit, 10);
-  assert_int_equal (mr_limit_calls (&limit), 10);
-  mr_limit_on_shed (&limit, MR_SECOND);
-  assert_int_equal (mr_limit_calls (&limit), 7);
-  mr_limit_on_shed (&limit, MR_SECOND + MR_MS); /* the same overload */
-  assert_int_equal (mr_limit_calls (&limit), 7);
+  MrConcurrencyLimit limit;
+  mr_concurrency_limit_init (&limit, 10);
+  assert_int_equal (mr_concurrency_limit_calls (&limit), 10);
+  mr_concurrency_limit_on_shed (&limit, MR_SECOND);
+  assert_int_equal (mr_concurrency_limit_calls (&limit), 7);
+  mr_concurrency_limit_on_shed (&limit, MR_SECOND + MR_MS); /* the same overload */
+  assert_int_equal (mr_concurrency_limit_calls (&limit), 7);
   for (int i = 0; i < 200; i++)
-    mr_limit_on_success (&limit);
-  assert_int_equal (mr_limit_calls (&limit), 10);
+    mr_concurrency_limit_on_success (&limit);
+  assert_int_equal (mr_concurrency_limit_calls (&limit), 10);
   for (MrTime t = 2; t < 60; t++)
-    mr_limit_on_shed (&limit, t * MR_SECOND);
-  assert_int_equal (mr_limit_calls (&limit), 1);
-  mr_limit_init (&limit, 8);
-  mr_limit_on_cold (&limit);
-  assert_int_equal (mr_limit_calls (&limit), 1);
+    mr_concurrency_limit_on_shed (&limit, t * MR_SECOND);
+  assert_int_equal (mr_concurrency_limit_calls (&limit), 1);
+  mr_concurrency_limit_init (&limit, 8);
+  mr_concurrency_limit_slow_start (&limit);
+  assert_int_equal (mr_concurrency_limit_calls (&limit), 1);
   for (int i = 0; i < 3; i++)
-    mr_limit_on_success (&limit);
-  assert_int_equal (mr_limit_calls (&limit), 4);
+    mr_concurrency_limit_on_success (&limit);
+  assert_int_equal (mr_concurrency_limit_calls (&limit), 4);
 }
 
 /* What a target's calls say of it: event by event, the state and the action. */
@@ -128,65 +128,65 @@
     MrHealthState state;
     MrHealthAction action;
   } steps[] = {
-    { ANSWER, 100, MR_HEALTH_UP, MR_HEALTH_NOTHING },
+    { ANSWER, 100, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
     /* Answered since the call began: only its connection is doubted. */
-    { SILENCE, 105, MR_HEALTH_UP, MR_HEALTH_NOTHING },
-    { SILENCE, 200, MR_HEALTH_SUSPECT, MR_HEALTH_PROBE },
-    { SILENCE, 201, MR_HEALTH_SUSPECT, MR_HEALTH_NOTHING },
+    { SILENCE, 105, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
+    { SILENCE, 200, MR_HEALTH_SUSPECT, MR_HEALTH_ACTION_PROBE },
+    { SILENCE, 201, MR_HEALTH_SUSPECT, MR_HEALTH_ACTION_NONE },
     /* The probe on a new connection answers: the old connections were lost. */
-    { PROBE_OK, 210, MR_HEALTH_UP, MR_HEALTH_RENEW },
-    { BREAK, 300, MR_HEALTH_SUSPECT, MR_HEALTH_PROBE },
-    { PROBE_FAILED, 310, MR_HEALTH_DOWN, MR_HEALTH_NOTHING },
-    { TICK, 350, MR_HEALTH_DOWN, MR_HEALTH_NOTHING },
-    { TICK, 411, MR_HEALTH_DOWN, MR_HEALTH_PROBE },
-    { PROBE_OK, 420, MR_HEALTH_UP, MR_HEALTH_COLD },
+    { PROBE_OK, 210, MR_HEALTH_UP, MR_HEALTH_ACTION_RECONNECT },
+    { BREAK, 300, MR_HEALTH_SUSPECT, MR_HEALTH_ACTION_PROBE },
+    { PROBE_FAILED, 310, MR_HEALTH_DOWN, MR_HEALTH_ACTION_NONE },
+    { TICK, 350, MR_HEALTH_DOWN, MR_HEALTH_ACTION_NONE },
+    { TICK, 411, MR_HEALTH_DOWN, MR_HEALTH_ACTION_PROBE },
+    { PROBE_OK, 420, MR_HEALTH_UP, MR_HEALTH_ACTION_SLOW_START },
     /* Fast failures: out after three in a row, then for longer after each one. */
-    { FAILURE, 430, MR_HEALTH_UP, MR_HEALTH_NOTHING },
-    { FAILURE, 431, MR_HEALTH_UP, MR_HEALTH_NOTHING },
-    { FAILURE, 432, MR_HEALTH_DOWN, MR_HEALTH_NOTHING },
-    { TICK, 633, MR_HEALTH_DOWN, MR_HEALTH_PROBE },
-    { PROBE_OK, 640, MR_HEALTH_UP, MR_HEALTH_COLD },
-    { FAILURE, 650, MR_HEALTH_DOWN, MR_HEALTH_NOTHING },
-    { TICK, 1000, MR_HEALTH_DOWN, MR_HEALTH_NOTHING },
-    { TICK, 1051, MR_HEALTH_DOWN, MR_HEALTH_PROBE },
-    { PROBE_OK, 1060, MR_HEALTH_UP, MR_HEALTH_COLD },
-    { ANSWER, 1070, MR_HEALTH_UP, MR_HEALTH_NOTHING },
-    { FAILURE, 1080, MR_HEALTH_UP, MR_HEALTH_NOTHING },
+    { FAILURE, 430, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
+    { FAILURE, 431, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
+    { FAILURE, 432, MR_HEALTH_DOWN, MR_HEALTH_ACTION_NONE },
+    { TICK, 633, MR_HEALTH_DOWN, MR_HEALTH_ACTION_PROBE },
+    { PROBE_OK, 640, MR_HEALTH_UP, MR_HEALTH_ACTION_SLOW_START },
+    { FAILURE, 650, MR_HEALTH_DOWN, MR_HEALTH_ACTION_NONE },
+    { TICK, 1000, MR_HEALTH_DOWN, MR_HEALTH_ACTION_NONE },
+    { TICK, 1051, MR_HEALTH_DOWN, MR_HEALTH_ACTION_PROBE },
+    { PROBE_OK, 1060, MR_HEALTH_UP, MR_HEALTH_ACTION_SLOW_START },
+    { ANSWER, 1070, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
+    { FAILURE, 1080, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
     /* Two connections lost while others answer: all are replaced. */
-    { ANSWER, 1085, MR_HEALTH_UP, MR_HEALTH_NOTHING },
-    { LOST, 1086, MR_HEALTH_UP, MR_HEALTH_NOTHING },
-    { LOST, 1087, MR_HEALTH_UP, MR_HEALTH_RENEW },
-    { LEAVING, 1100, MR_HEALTH_LEAVING, MR_HEALTH_NOTHING },
-    { ANSWER, 1110, MR_HEALTH_LEAVING, MR_HEALTH_NOTHING },
+    { ANSWER, 1085, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
+    { LOST, 1086, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
+    { LOST, 1087, MR_HEALTH_UP, MR_HEALTH_ACTION_RECONNECT },
+    { LEAVING, 1100, MR_HEALTH_LEAVING, MR_HEALTH_ACTION_NONE },
+    { ANSWER, 1110, MR_HEALTH_LEAVING, MR_HEALTH_ACTION_NONE },
     /* The list lags: the target's own word stands for a while. */
-    { LIVE, 5000, MR_HEALTH_LEAVING, MR_HEALTH_NOTHING },
-    { LIVE, 40000, MR_HEALTH_DOWN, MR_HEALTH_PROBE },
-    { PROBE_OK, 40010, MR_HEALTH_UP, MR_HEALTH_COLD },
+    { LIVE, 5000, MR_HEALTH_LEAVING, MR_HEALTH_ACTION_NONE },
+    { LIVE, 40000, MR_HEALTH_DOWN, MR_HEALTH_ACTION_PROBE },
+    { PROBE_OK, 40010, MR_HEALTH_UP, MR_HEALTH_ACTION_SLOW_START },
   };
   MrHealth h = { 0 };
   for (size_t i = 0; i < G_N_ELEMENTS (steps); i++)
     {
       MrTime now = steps[i].at * MR_MS;
-      MrHealthAction action = MR_HEALTH_NOTHING;
+      MrHealthAction action = MR_HEALTH_ACTION_NONE;
       switch (steps[i].event)
         {
         case ANSWER:
-          action = mr_health_on_answer (&h, now);
+          action = mr_health_on_success (&h, now);
           break;
         case SILENCE:
-          action = mr_health_on_silence (&h, now - 10 * MR_MS, now);
+          action = mr_health_on_timeout (&h, now - 10 * MR_MS, now);
           break;
         case BREAK:
-          action = mr_health_on_break (&h, now);
+          action = mr_health_on_connection_error (&h, now);
           break;
         case PROBE_OK:
-          action = mr_health_on_probe (&h, true, now);
+          action = mr_health_on_probe_result (&h, true, now);
           break;
         case PROBE_FAILED:
-          action = mr_health_on_probe (&h, false, now);
+          action = mr_health_on_probe_result (&h, false, now);
           break;
         case LOST:
-          action = mr_health_on_lost (&h, now - 10 * MR_MS, now);
+          action = mr_health_on_connection_lost (&h, now - 10 * MR_MS, now);
           break;
         case FAILURE:
           mr_health_on_failure (&h, now);
@@ -202,7 +202,7 @@
           break;
         }
       if (h.state != steps[i].state || action != steps[i].action)
-        fail_msg ("step %zu: state %s action %d", i, mr_health_name (h.state), action);
+        fail_msg ("step %zu: state %s action %d", i, mr_health_state_name (h.state), action);
     }
 }
 
@@ -215,7 +215,7 @@
   const struct
   {
     guint64 version;
-    MrOffer offer;
+    MrOfferResult offer;
   } steps[] = {
     { 5, MR_OFFER_NEW }, { 5, MR_OFFER_SAME }, { 4, MR_OFFER_OLD }, { 6, MR_OFFER_NEW }
   };
@@ -376,8 +376,8 @@
     mr_roster_put (roster, &members[i]);
   guint watchers = 0;
   for (int i = 0; i < 8; i++)
-    watchers += mr_watch_rank (roster, members[i].name) < MR_WATCHERS;
-  assert_int_equal (watchers, 2 * MR_WATCHERS); /* two domains, whatever the fleet */
+    watchers += mr_watch_rank (roster, members[i].name) < MR_WATCHERS_PER_DOMAIN;
+  assert_int_equal (watchers, 2 * MR_WATCHERS_PER_DOMAIN); /* two domains, whatever the fleet */
   mr_roster_free (roster);
   /* Failures back off; those that don't watch do not press a store that is down. */
   MrWatch watch = { 0 };
--- a/test/test_directory.c
+++ b/test/test_directory.c
@@ -178,7 +178,7 @@
                                      .domains = DOMAINS,
                                      .regions = 1,
                                      .seeds = 3,
-                                     .strong_each = counts[c] > SMALL ? 2 : 0 };
+                                     .large_vms_per_domain = counts[c] > SMALL ? 2 : 0 };
         g_autofree Site *site = g_new0 (Site, 1);
         guint late = 0;
         site->fleet = fleet_new (&layout);
--- a/test/test_dispatch.c
+++ b/test/test_dispatch.c
@@ -88,7 +88,7 @@
   Searches searches = { .host = { .start_call = S_start_call,
                                   .cancel_call = S_cancel_call,
                                   .probe = S_ignore_target,
-                                  .renew = S_ignore_target,
+                                  .reconnect = S_ignore_target,
                                   .done = S_done,
                                   .evidence = S_evidence } };
   searches.started = g_queue_new ();
--- a/test/test_evacuation.c
+++ b/test/test_evacuation.c
@@ -12,12 +12,12 @@
 test_versions (void **state)
 {
   (void) state;
-  guint64 written = mr_evacuation_version (3 * MR_VERSIONS_APART, FALSE);
-  guint64 removed = mr_evacuation_version (3 * MR_VERSIONS_APART, TRUE);
-  guint64 again = mr_evacuation_version (4 * MR_VERSIONS_APART, FALSE);
-  assert_true (mr_evacuation_holds (written));
-  assert_false (mr_evacuation_holds (removed));
-  assert_true (mr_evacuation_holds (again));
+  guint64 written = mr_evacuation_version (3 * MR_VERSION_STRIDE, FALSE);
+  guint64 removed = mr_evacuation_version (3 * MR_VERSION_STRIDE, TRUE);
+  guint64 again = mr_evacuation_version (4 * MR_VERSION_STRIDE, FALSE);
+  assert_true (mr_evacuation_is_active (written));
+  assert_false (mr_evacuation_is_active (removed));
+  assert_true (mr_evacuation_is_active (again));
   assert_true (written < removed && removed < again);
 }
 
@@ -29,34 +29,34 @@
   static const struct
   {
     const char *name;
-    WorldPlan plan;
+    SimPlan plan;
     double least[2]; /* credit of each kind, as a share of what was asked */
   } cases[] = {
     { "one of three",
-      { SITE, .events = { { WORLD_EVACUATED, 0, 0, 1, 4000, 0, 0 } } },
+      { SITE, .faults = { { SIM_FAULT_EVACUATED, 0, 0, 1, 4000, 0, 0 } } },
       { 0.9, 0.9 } },
     { "one, for three seconds",
-      { SITE, .events = { { WORLD_EVACUATED, 1, 1, 1, 4000, 7000, 0 } } },
+      { SITE, .faults = { { SIM_FAULT_EVACUATED, 1, 1, 1, 4000, 7000, 0 } } },
       { 0.93, 0.93 } },
     { "one after the other",
-      { SITE, .events = { { WORLD_EVACUATED, 0, 0, 1, 4000, 8000, 0 },
-                          { WORLD_EVACUATED, 1, 1, 1, 8000, 12000, 0 },
-                          { WORLD_EVACUATED, 2, 2, 1, 12000, 16000, 0 } } },
+      { SITE, .faults = { { SIM_FAULT_EVACUATED, 0, 0, 1, 4000, 8000, 0 },
+                          { SIM_FAULT_EVACUATED, 1, 1, 1, 8000, 12000, 0 },
+                          { SIM_FAULT_EVACUATED, 2, 2, 1, 12000, 16000, 0 } } },
       { 0.9, 0.9 } },
     { "calls wait for their connections",
-      { SITE, .connect_ms = 6, .events = { { WORLD_EVACUATED, 0, 0, 1, 4000, 0, 0 } } },
+      { SITE, .connect_ms = 6, .faults = { { SIM_FAULT_EVACUATED, 0, 0, 1, 4000, 0, 0 } } },
       { 0.85, 0.85 } },
     { "set again within a second",
-      { SITE, .events = { { WORLD_EVACUATED, 0, 0, 1, 4000, 4400, 0 },
-                          { WORLD_EVACUATED, 0, 0, 1, 4500, 0, 0 } } },
+      { SITE, .faults = { { SIM_FAULT_EVACUATED, 0, 0, 1, 4000, 4400, 0 },
+                          { SIM_FAULT_EVACUATED, 0, 0, 1, 4500, 0, 0 } } },
       { 0.9, 0.9 } },
     { "all, for two seconds",
-      { SITE, .events = { { WORLD_EVACUATED, 0, 2, 1, 4000, 6000, 0 } } },
+      { SITE, .faults = { { SIM_FAULT_EVACUATED, 0, 2, 1, 4000, 6000, 0 } } },
       { 0.85, 0.85 } },
   };
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
-    expect_credit (cases[i].name, &cases[i].plan, cases[i].least);
+    expect_utility (cases[i].name, &cases[i].plan, cases[i].least);
 }
 
 /* How soon all daemons know. */
@@ -64,7 +64,7 @@
 static const char domain[] = "d1";
 enum
 {
-  WRITTEN = 40 * MR_VERSIONS_APART,
+  WRITTEN = 40 * MR_VERSION_STRIDE,
   MIDDLE = 73,
   LARGE = 295,
 };
@@ -78,8 +78,8 @@
       if (!node->membership || !node->watcher ||
           fleet->store_cut[fleet_domain (fleet, node->index)])
         continue;
-      mr_spread_offer (node->spread, MR_OBJECT_EVACUATION, mr_text (domain), version, (MrText){ 0 },
-                       NULL);
+      mr_replication_offer (node->spread, MR_OBJECT_EVACUATION, mr_text (domain), version,
+                            (MrText){ 0 }, NULL);
       node->due = 0;
     }
 }
@@ -140,17 +140,17 @@
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       const FleetLayout layout = {
-        .count = cases[i].count, .domains = 3, .regions = 1, .seeds = 3, .strong_each = 2
+        .count = cases[i].count, .domains = 3, .regions = 1, .seeds = 3, .large_vms_per_domain = 2
       };
       Fleet *fleet = fleet_new (&layout);
       fleet_start_all (fleet, 300 * MR_MS, FALSE);
-      assert_true (fleet_run_until (fleet, fleet_agrees, 20 * MR_SECOND) < MR_NEVER);
+      assert_true (fleet_run_until (fleet, fleet_converged, 20 * MR_SECOND) < MR_NEVER);
       if (cases[i].meanwhile)
         cases[i].meanwhile (fleet);
       const guint64 versions[] = {
         mr_evacuation_version (WRITTEN, FALSE),
         mr_evacuation_version (WRITTEN, TRUE),
-        mr_evacuation_version (WRITTEN + MR_VERSIONS_APART, FALSE),
+        mr_evacuation_version (WRITTEN + MR_VERSION_STRIDE, FALSE),
       };
       for (gsize v = 0; v < G_N_ELEMENTS (versions); v++)
         {
--- a/test/test_evidence.c
+++ b/test/test_evidence.c
@@ -65,7 +65,7 @@
     {
       const Weight *w = &weights[i];
       if (mr_evidence_standing (&w->evidence, NOW) != w->standing ||
-          mr_evidence_on_probation (&w->evidence, NOW) != w->probation)
+          mr_evidence_is_probation_due (&w->evidence, NOW) != w->probation)
         fail_msg ("%s", w->name);
     }
 }
@@ -120,8 +120,8 @@
 static MrEvidence
 S_end (const MrEvidence *known, const MrEvidence *base, const char *target)
 {
-  MrEvidenceEnd end = { .target = mr_text (target), .base = *base, .unix_time = NOW };
-  return mr_evidence_add (known, &end);
+  MrTargetCrash end = { .target = mr_text (target), .evidence_at_send = *base, .unix_time = NOW };
+  return mr_evidence_add_crash (known, &end);
 }
 
 /* Ends under sends of one time are one occasion, however late each is found out; those
@@ -133,14 +133,14 @@
   MrEvidence none = { 0 };
   MrEvidence known = S_end (&none, &none, "t1");
   known = S_end (&known, &none, "t1");
-  assert_true (mr_evidence_ended (&known) == 1 && known.occasions == 1);
+  assert_true (mr_evidence_crash_count (&known) == 1 && known.occasions == 1);
   known = S_end (&known, &none, "t2");
-  assert_true (mr_evidence_ended (&known) == 2 && known.occasions == 1);
-  assert_true (mr_evidence_at_bound (&known));
+  assert_true (mr_evidence_crash_count (&known) == 2 && known.occasions == 1);
+  assert_true (mr_evidence_needs_exclusive_trial (&known));
   MrEvidence base = known;
   known = S_end (&known, &base, "t3");
   known = S_end (&known, &none, "t4"); /* a late one of the first time */
-  assert_true (mr_evidence_ended (&known) == 3 && known.occasions == 2);
+  assert_true (mr_evidence_crash_count (&known) == 3 && known.occasions == 2);
   assert_int_equal (mr_evidence_standing (&known, NOW), MR_STANDING_QUARANTINED);
   MrEvidence clear = mr_evidence_clear (&known, NOW + 2);
   assert_true (mr_evidence_pack (&clear) > mr_evidence_pack (&known));
@@ -158,12 +158,12 @@
   MrEvidence all = none;
   for (guint i = 0; i < G_N_ELEMENTS (each); i++)
     {
-      MrEvidence joined = mr_evidence_join (&all, &each[i]);
+      MrEvidence joined = mr_evidence_merge (&all, &each[i]);
       assert_true (mr_evidence_pack (&joined) >= mr_evidence_pack (&all));
       assert_true (mr_evidence_pack (&joined) >= mr_evidence_pack (&each[i]));
       all = joined;
     }
-  assert_true (mr_evidence_ended (&all) == 3 && all.occasions == 1);
+  assert_true (mr_evidence_crash_count (&all) == 3 && all.occasions == 1);
 }
 
 /* Of more ends than are told apart all daemons keep the same ones, in whatever order they
@@ -190,13 +190,13 @@
         MrEvidence all = none;
         for (guint i = 0; i < DAEMONS; i++)
           {
-            MrEvidence joined = mr_evidence_join (&all, &each[(start + i * step) % DAEMONS]);
+            MrEvidence joined = mr_evidence_merge (&all, &each[(start + i * step) % DAEMONS]);
             assert_true (mr_evidence_pack (&joined) >= mr_evidence_pack (&all));
             all = joined;
           }
         first = first == 0 ? mr_evidence_pack (&all) : first;
         assert_int_equal (mr_evidence_pack (&all), first);
-        assert_int_equal (mr_evidence_ended (&all), MR_EVIDENCE_MARKS);
+        assert_int_equal (mr_evidence_crash_count (&all), MR_EVIDENCE_MAX_MARKS);
       }
 }
 
@@ -226,11 +226,11 @@
           g_autofree char *name = g_strdup_printf ("i-%08x", (3 * i + n) * 2654435761U);
           MrEvidence elsewhere = S_end (&none, &none, name);
           one_by_one = S_end (&one_by_one, &one_by_one, name);
-          together = mr_evidence_join (&together, &elsewhere);
+          together = mr_evidence_merge (&together, &elsewhere);
         }
       one_by_one_short +=
           mr_evidence_standing (&one_by_one, NOW) != MR_STANDING_QUARANTINED ? 1 : 0;
-      together_short += mr_evidence_ended (&together) < 3 ? 1 : 0;
+      together_short += mr_evidence_crash_count (&together) < 3 ? 1 : 0;
     }
   if (one_by_one_short > SHORT_MOST || together_short > SHORT_MOST)
     fail_msg ("of %d contents that ended three targets %u (one by one) and %u (at one time) "
@@ -264,7 +264,7 @@
       for (guint n = count; n > 0; rest /= n, n--)
         {
           guint at = rest % n;
-          mr_quarantine_offer (q, S_content (0), &steps[left[at]], NOW, NULL);
+          mr_quarantine_merge (q, S_content (0), &steps[left[at]], NOW, NULL);
           left[at] = left[n - 1];
         }
       MrEvidence e = mr_quarantine_get (q, S_content (0));
@@ -285,7 +285,7 @@
   Held *held = user;
   (void) fingerprint;
   held->all++;
-  held->quarantined += mr_evidence_quarantines (evidence);
+  held->quarantined += mr_evidence_is_quarantined (evidence);
 }
 
 static Held
@@ -304,25 +304,26 @@
   (void) state;
   MrQuarantine *q = mr_quarantine_new ();
   MrEvidence held = { .marks = { 9, 7, 1 }, .occasions = 2, .at = NOW - 1000 };
-  assert_true (mr_quarantine_offer (q, S_content (0), &held, NOW, NULL));
-  for (guint i = 1; i < 3 * MR_QUARANTINE_MOST; i++)
+  assert_true (mr_quarantine_merge (q, S_content (0), &held, NOW, NULL));
+  for (guint i = 1; i < 3 * MR_QUARANTINE_MAX_CONTENTS; i++)
     {
       MrFingerprint left_out = { 0 };
       MrEvidence e = { .marks = { 7 }, .occasions = 1, .at = NOW + i };
-      assert_true (mr_quarantine_offer (q, S_content (i), &e, NOW + i, &left_out));
-      assert_true (mr_fingerprint_is_set (left_out) == (i >= MR_QUARANTINE_MOST));
+      assert_true (mr_quarantine_merge (q, S_content (i), &e, NOW + i, &left_out));
+      assert_true (mr_fingerprint_is_set (left_out) == (i >= MR_QUARANTINE_MAX_CONTENTS));
     }
-  assert_int_equal (S_held (q).all, MR_QUARANTINE_MOST);
+  assert_int_equal (S_held (q).all, MR_QUARANTINE_MAX_CONTENTS);
   assert_int_equal (mr_quarantine_get (q, S_content (0)).marks[0], 9);
-  assert_int_equal (mr_quarantine_get (q, S_content (3 * MR_QUARANTINE_MOST - 1)).marks[0], 7);
+  assert_int_equal (mr_quarantine_get (q, S_content (3 * MR_QUARANTINE_MAX_CONTENTS - 1)).marks[0],
+                    7);
   MrEvidence old = { .marks = { 7 }, .occasions = 1, .at = NOW + 1 };
-  assert_false (mr_quarantine_offer (q, S_content (1), &old, NOW + 2, NULL));
+  assert_false (mr_quarantine_merge (q, S_content (1), &old, NOW + 2, NULL));
   /* Suspicions that nothing came of go; the quarantine stays. */
   MrFingerprint expired;
   guint gone = 0;
-  while (mr_quarantine_expire (q, NOW + 100000, &expired))
+  while (mr_quarantine_remove_expired (q, NOW + 100000, &expired))
     gone++;
-  assert_int_equal (gone, MR_QUARANTINE_MOST - 1);
+  assert_int_equal (gone, MR_QUARANTINE_MAX_CONTENTS - 1);
   assert_int_equal (S_held (q).quarantined, 1);
   mr_quarantine_free (q);
 }
--- a/test/test_fingerprint.c
+++ b/test/test_fingerprint.c
@@ -33,11 +33,11 @@
 test_what_counts (void **state)
 {
   (void) state;
-  MrFingerprint first = mr_fingerprint (cases[0].texts, 3, cases[0].key);
+  MrFingerprint first = mr_fingerprint_compute (cases[0].texts, 3, cases[0].key);
   assert_true (mr_fingerprint_is_set (first));
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      MrFingerprint f = mr_fingerprint (cases[i].texts, 3, cases[i].key);
+      MrFingerprint f = mr_fingerprint_compute (cases[i].texts, 3, cases[i].key);
       if (mr_fingerprint_equal (f, first) != cases[i].same)
         fail_msg ("%s", cases[i].name);
     }
@@ -51,7 +51,7 @@
                                        "0123456789abcdef0123456789abcdef0" };
   (void) state;
   char text[MR_FINGERPRINT_DIGITS + 1];
-  MrFingerprint f = mr_fingerprint (cases[0].texts, 3, 1);
+  MrFingerprint f = mr_fingerprint_compute (cases[0].texts, 3, 1);
   MrFingerprint read = { 0 };
   mr_fingerprint_write (f, text);
   assert_true (mr_fingerprint_read (mr_text (text), &read));
--- a/test/test_fleet_shares.c
+++ b/test/test_fleet_shares.c
@@ -1,9 +1,9 @@
 /* What each daemon may use of what the fleet shares: second sends, connections,
  * callers, calls to the platform. */
 
-#include "budget.h"
 #include "entry_plan.h"
 #include "merge_records.h"
+#include "resend_budget.h"
 #include "timers.h"
 #include "watch.h"
 
@@ -18,13 +18,13 @@
   WINDOW = 10, /* seconds */
 };
 
-static const MrWindowTerms terms = {
+static const MrResendBudgetConfig terms = {
   .window = WINDOW * MR_SECOND,
   .ratio = 0.2,
   .allowance = 60,
   .share = 1.0 / 6,
-  .margin = MR_FLEET_MARGIN,
-  .born = MR_SECOND,
+  .margin = MR_RESEND_BUDGET_MARGIN,
+  .started_at = MR_SECOND,
 };
 
 /* Callers see nothing of it, targets do: an outage turns every call into a
@@ -39,7 +39,7 @@
     STEPS = 6000, /* of 10 ms */
   };
   (void) state;
-  MrWindowBudget budgets[DAEMONS] = { 0 };
+  MrResendBudget budgets[DAEMONS] = { 0 };
   guint spent[STEPS] = { 0 };
   guint requests[STEPS] = { 0 };
   for (guint step = 0; step < STEPS; step++)
@@ -48,10 +48,10 @@
         MrTime now = MR_SECOND + step * 10 * MR_MS;
         if ((step / 500 + i) % 3 != 0) /* callers come and go */
           {
-            mr_window_budget_request (&budgets[i], &terms, now);
+            mr_resend_budget_add_request (&budgets[i], &terms, now);
             requests[step]++;
           }
-        while (mr_window_budget_spend (&budgets[i], &terms, now, 1))
+        while (mr_resend_budget_try_spend (&budgets[i], &terms, now, 1))
           spent[step]++;
       }
   const guint steps = WINDOW * 100;
@@ -85,12 +85,13 @@
       guint extra = 0;
       for (guint life = 0; life < WINDOW; life++)
         {
-          MrWindowBudget budget = { 0 };
-          MrWindowTerms reborn = terms;
+          MrResendBudget budget = { 0 };
+          MrResendBudgetConfig reborn = terms;
           reborn.share = shares[i];
-          reborn.born = (life + 1) * MR_SECOND;
+          reborn.started_at = (life + 1) * MR_SECOND;
           for (guint step = 0; step < 100; step++)
-            while (mr_window_budget_spend (&budget, &reborn, reborn.born + step * 10 * MR_MS, 1))
+            while (mr_resend_budget_try_spend (&budget, &reborn,
+                                               reborn.started_at + step * 10 * MR_MS, 1))
               extra++;
         }
       assert_true (extra <= terms.allowance * shares[i]);
@@ -116,11 +117,12 @@
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      MrWindowBudget budget = { 0 };
-      MrWindowTerms young = terms;
+      MrResendBudget budget = { 0 };
+      MrResendBudgetConfig young = terms;
       young.share = cases[i].share;
       guint sends = 0;
-      while (mr_window_budget_spend (&budget, &young, young.born + 30 * MR_MS, cases[i].use))
+      while (
+          mr_resend_budget_try_spend (&budget, &young, young.started_at + 30 * MR_MS, cases[i].use))
         sends++;
       assert_int_equal (sends, cases[i].sends);
     }
@@ -310,17 +312,17 @@
       MrRoster *roster = S_roster (members, MEMBERS);
       guint healthy = 0;
       for (guint m = 0; m < MEMBERS; m++)
-        if (mr_watch_relay (roster, members[m].name) && !members[m].cut_off)
+        if (mr_watch_is_relay_watcher (roster, members[m].name) && !members[m].platform_unreachable)
           healthy++;
       assert_true (healthy >= 1);
-      assert_true (healthy <= MR_RELAY_WATCHERS + 1); /* rounded up in each domain */
+      assert_true (healthy <= MR_RELAY_WATCHERS_MIN + 1); /* rounded up in each domain */
       if (cut == 0)
-        assert_int_equal (healthy, MR_RELAY_WATCHERS);
+        assert_int_equal (healthy, MR_RELAY_WATCHERS_MIN);
       /* The next to be cut off is one that watches now. */
       for (guint m = 0; m < MEMBERS; m++)
-        if (mr_watch_relay (roster, members[m].name) && !members[m].cut_off)
+        if (mr_watch_is_relay_watcher (roster, members[m].name) && !members[m].platform_unreachable)
           {
-            members[m].cut_off = TRUE;
+            members[m].platform_unreachable = TRUE;
             break;
           }
       mr_roster_free (roster);
@@ -352,10 +354,11 @@
       guint next = MEMBERS;
       for (guint m = 0; m < MEMBERS; m++)
         {
-          gboolean watches = mr_watch_relay (roster, members[m].name);
+          gboolean watches = mr_watch_is_relay_watcher (roster, members[m].name);
           asking += watches;
-          firsts += watches && !members[m].cut_off && mr_watch_first (roster, members[m].name);
-          if (watches && !members[m].cut_off)
+          firsts += watches && !members[m].platform_unreachable &&
+                    mr_watch_is_first_watcher (roster, members[m].name);
+          if (watches && !members[m].platform_unreachable)
             next = m;
         }
       assert_true (asking <= ASKING_MOST);
@@ -363,7 +366,7 @@
       if (next == MEMBERS)
         break; /* nobody who could is left to ask */
       assert_int_equal (firsts, 1);
-      members[next].cut_off = TRUE;
+      members[next].platform_unreachable = TRUE;
     }
 }
 
@@ -404,7 +407,7 @@
     }
   guint left = 0;
   for (guint i = 0; i < TIMERS; i++)
-    left += items[i].place > 0;
+    left += items[i].heap_index > 0;
   MrTime before = 0;
   for (MrTimer *timer = mr_timers_pop (timers, 1000); timer; timer = mr_timers_pop (timers, 1000))
     {
@@ -413,7 +416,7 @@
       left--;
     }
   assert_int_equal (left, 0);
-  assert_true (mr_timers_next (timers) == MR_NEVER);
+  assert_true (mr_timers_next_due (timers) == MR_NEVER);
   g_rand_free (random);
   mr_timers_free (timers);
 }
@@ -437,14 +440,14 @@
       guint firsts = 0;
       guint first = 0;
       for (guint m = 0; m < MEMBERS; m++)
-        if (!members[m].cut_off && mr_watch_first (roster, members[m].name))
+        if (!members[m].platform_unreachable && mr_watch_is_first_watcher (roster, members[m].name))
           {
             firsts++;
             first = m;
           }
       assert_int_equal (firsts, 1);
-      assert_true (mr_watch_relay (roster, members[first].name));
-      members[first].cut_off = TRUE;
+      assert_true (mr_watch_is_relay_watcher (roster, members[first].name));
+      members[first].platform_unreachable = TRUE;
       mr_roster_free (roster);
     }
 }
@@ -458,9 +461,9 @@
   MrWatch watch = { 0 };
   guint first = mr_watch_begin (&watch);
   assert_true (mr_watch_is_current (&watch, first));
-  mr_watch_renew (&watch);
+  mr_watch_restart (&watch);
   assert_false (mr_watch_is_current (&watch, first));
-  assert_false (watch.busy);
+  assert_false (watch.in_flight);
   guint second = mr_watch_begin (&watch);
   assert_false (mr_watch_is_current (&watch, first));
   assert_true (mr_watch_is_current (&watch, second));
--- a/test/test_homes.c
+++ b/test/test_homes.c
@@ -78,7 +78,7 @@
       g_snprintf (target.id, sizeof target.id, "t%u", i);
       g_snprintf (target.domain, sizeof target.domain, "d%u", i % 2);
       g_strlcpy (target.ip, "10.0.0.1", sizeof target.ip);
-      mr_relay_target (relay, MR_SECOND, "s", &target, FALSE, 0);
+      mr_relay_update_target (relay, MR_SECOND, "s", &target, FALSE, 0);
     }
 }
 
@@ -101,31 +101,31 @@
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       Caller c = {
-        .host = { .call = S_on_call,
-                  .drop = S_on_drop,
+        .host = { .send_call = S_on_call,
+                  .close_call = S_on_drop,
                   .probe = S_on_target,
-                  .renew = S_on_target,
-                  .done = S_on_done },
+                  .reconnect = S_on_target,
+                  .request_done = S_on_done },
         .called = g_ptr_array_new_with_free_func (g_free),
         .open = g_array_new (FALSE, FALSE, sizeof (guint64)),
       };
-      MrRelayInfo info = { .regions = regions,
-                           .policy = &mr_relay_policy,
-                           .seed = 7,
-                           .budget = { .window = 10 * MR_SECOND,
-                                       .ratio = 1,
-                                       .allowance = 1000,
-                                       .share = 1,
-                                       .margin = 1 } };
+      MrRelayOptions info = { .regions = regions,
+                              .policy = &mr_relay_policy,
+                              .seed = 7,
+                              .budget = { .window = 10 * MR_SECOND,
+                                          .ratio = 1,
+                                          .allowance = 1000,
+                                          .share = 1,
+                                          .margin = 1 } };
       MrRelay *relay = mr_relay_new (&c.host, &info);
       MrRelayShares shares = { .connections = 1, .slots = 1, .allowance = 1 };
       mr_relay_set_shares (relay, &shares);
       S_list_targets (relay);
       MrConfiguration *configuration = S_configuration (cases[i].homes);
       assert_non_null (configuration);
-      MrRelayRequest request = {
+      MrRelayRequestParams request = {
         .configuration = configuration,
-        .route = mr_configuration_match (configuration, MR_TEXT ("h"), MR_TEXT ("/q")),
+        .route = mr_configuration_find_route (configuration, MR_TEXT ("h"), MR_TEXT ("/q")),
         .deadline = 3 * MR_SECOND,
       };
       mr_relay_submit (relay, MR_SECOND, &request);
--- a/test/test_incarnation.c
+++ b/test/test_incarnation.c
@@ -67,7 +67,7 @@
       for (const Offer *offer = cases[i].offers; offer->revision != 0; offer++)
         {
           g_autofree char *body = offer->removed ? NULL : S_entry (offer->started);
-          guint64 version = MR_VERSIONS_APART * (guint64) offer->revision +
+          guint64 version = MR_VERSION_STRIDE * (guint64) offer->revision +
                             (offer->removed ? MR_VERSION_REMOVED : 0);
           mr_registry_offer (registry, MR_OBJECT_TARGET, MR_TEXT ("i-1"), version, mr_text (body));
         }
@@ -92,7 +92,7 @@
   mr_registry_offer (saw_both, MR_OBJECT_TARGET, MR_TEXT ("i-1"), 4, mr_text (new));
   assert_int_equal (
       mr_registry_offer (saw_both, MR_OBJECT_TARGET, MR_TEXT ("i-1"), 8, mr_text (old)),
-      MR_OFFER_KEPT);
+      MR_OFFER_BODY_REJECTED);
   mr_registry_offer (saw_last, MR_OBJECT_TARGET, MR_TEXT ("i-1"), 8, mr_text (old));
   assert_true (mr_registry_digest (saw_both) != mr_registry_digest (saw_last));
   const MrObject *held = mr_registry_get (saw_both, MR_OBJECT_TARGET, "i-1");
@@ -156,20 +156,20 @@
 S_relay (Host *host)
 {
   *host = (Host){
-    .host = { .call = S_on_call,
-              .drop = S_on_drop,
+    .host = { .send_call = S_on_call,
+              .close_call = S_on_drop,
               .probe = S_on_target,
-              .renew = S_on_target,
-              .done = S_on_done,
+              .reconnect = S_on_target,
+              .request_done = S_on_done,
               .free_answer = g_free },
   };
-  MrRelayInfo info = {
+  MrRelayOptions info = {
     .policy = &mr_relay_policy,
     .budget = { .window = 10 * MR_SECOND,
                 .ratio = 0.2,
                 .allowance = 50,
                 .margin = 1,
-                .born = -10 * MR_SECOND },
+                .started_at = -10 * MR_SECOND },
     .seed = 1,
   };
   MrRelay *relay = mr_relay_new (&host->host, &info);
@@ -178,7 +178,7 @@
   return relay;
 }
 
-static const MrSplitPart part = { .service = "s", .weight = 1 };
+static const MrRouteService part = { .service = "s", .weight = 1 };
 
 static void
 S_add (MrRelay *relay, MrTime now, guint64 started, gboolean leaving)
@@ -186,7 +186,7 @@
   MrTarget target = { .id = "i-1", .ip = "10.0.0.1", .port = 80, .domain = "d", .slots = 4 };
   target.connections = 4;
   target.started = started;
-  mr_relay_target (relay, now, "s", &target, leaving, 0);
+  mr_relay_update_target (relay, now, "s", &target, leaving, 0);
 }
 
 static MrRoute
@@ -195,19 +195,21 @@
   return (MrRoute){
     .name = "r",
     .kind = MR_ROUTE_SERVICE,
-    .repeatable = repeatable,
+    .idempotent = repeatable,
     .time_limit = 2 * MR_SECOND,
-    .aim = 400 * MR_MS,
-    .attempts = 2,
-    .parts = (MrSplitPart *) &part,
-    .part_count = 1,
+    .latency_goal = 400 * MR_MS,
+    .attempt_limit = 2,
+    .services = (MrRouteService *) &part,
+    .service_count = 1,
   };
 }
 
 static void
 S_submit (MrRelay *relay, MrTime now, Host *host, const MrRoute *route)
 {
-  MrRelayRequest request = { .request = host, .route = route, .deadline = 2 * MR_SECOND };
+  MrRelayRequestParams request = { .host_request = host,
+                                   .route = route,
+                                   .deadline = 2 * MR_SECOND };
   mr_relay_submit (relay, now, &request);
 }
 
@@ -238,7 +240,7 @@
       other.connections = 4;
       S_submit (relay, 10, &host, &route);
       assert_int_equal (host.calls, 1);
-      mr_relay_target (relay, 15, "s", &other, FALSE, 0);
+      mr_relay_update_target (relay, 15, "s", &other, FALSE, 0);
       S_add (relay, 20, NEW, FALSE);
       assert_int_equal (host.drops, 1);
       if (host.calls != cases[i].calls || host.done != cases[i].verdicts)
--- a/test/test_quarantine.c
+++ b/test/test_quarantine.c
@@ -31,7 +31,7 @@
 typedef struct
 {
   const char *name;
-  WorldPlan plan;
+  SimPlan plan;
   guint crashed_most; /* the aim's: see each */
   double least;       /* credit of the wide searches, as a share of what was asked */
 } Case;
@@ -45,43 +45,43 @@
 
 static const Case cases[] = {
   { "once",
-    { SITE, .crasher = { .count = 1, .from_ms = 5000, .crash_ms = 60, .back_ms = 3000 },
-      .news_ms = 20 },
+    { SITE, .poison = { .count = 1, .from_ms = 5000, .time_to_crash_ms = 60, .restart_ms = 3000 },
+      .evidence_delay_ms = 20 },
     FIRST_ARRIVAL,
     0.90 },
   { "each 5 s, repeated at once",
     { SITE,
-      .crasher = { .count = 4,
-                   .from_ms = 3000,
-                   .gap_ms = 5000,
-                   .repeats = 1,
-                   .crash_ms = 60,
-                   .back_ms = 3000 },
-      .news_ms = 20 },
+      .poison = { .count = 4,
+                  .from_ms = 3000,
+                  .interval_ms = 5000,
+                  .caller_retries = 1,
+                  .time_to_crash_ms = 60,
+                  .restart_ms = 3000 },
+      .evidence_delay_ms = 20 },
     FIRST_ARRIVAL + 3,
     0.90 },
   /* Those that arrive together can't know of each other. */
   { "four at once",
     { SITE,
-      .crasher = { .count = 4,
-                   .from_ms = 3000,
-                   .gap_ms = 5000,
-                   .copies = 4,
-                   .repeats = 1,
-                   .crash_ms = 60,
-                   .back_ms = 3000 },
-      .news_ms = 20 },
+      .poison = { .count = 4,
+                  .from_ms = 3000,
+                  .interval_ms = 5000,
+                  .copies = 4,
+                  .caller_retries = 1,
+                  .time_to_crash_ms = 60,
+                  .restart_ms = 3000 },
+      .evidence_delay_ms = 20 },
     3 * 10,
     0.80 },
   { "it ends its targets late",
     { SITE,
-      .crasher = { .count = 4,
-                   .from_ms = 3000,
-                   .gap_ms = 5000,
-                   .repeats = 3,
-                   .crash_ms = 300,
-                   .back_ms = 1000 },
-      .news_ms = 20 },
+      .poison = { .count = 4,
+                  .from_ms = 3000,
+                  .interval_ms = 5000,
+                  .caller_retries = 3,
+                  .time_to_crash_ms = 300,
+                  .restart_ms = 1000 },
+      .evidence_delay_ms = 20 },
     2 * FIRST_ARRIVAL,
     0.80 },
 };
@@ -93,14 +93,14 @@
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      WorldResult r;
-      world_run (&cases[i].plan, &r);
-      double credit = r.kinds[0].credit / MAX (r.kinds[0].asked, 1);
+      SimResult r;
+      sim_run (&cases[i].plan, &r);
+      double credit = r.routes[0].utility / MAX (r.routes[0].requests, 1);
       printf ("%-28s ended %3u calls %3u late %3u, others' credit %.3f refused %u failed %u\n",
-              cases[i].name, r.crashed, r.crasher_calls, r.crasher_late, credit, r.kinds[0].refused,
-              r.kinds[0].failed);
-      assert_int_equal (r.crasher_served, 0);
-      failed += r.crasher_late > LATE_MOST || r.crashed > cases[i].crashed_most ||
+              cases[i].name, r.poison_crashes, r.poison_calls, r.poison_calls_late, credit,
+              r.routes[0].refused, r.routes[0].failed);
+      assert_int_equal (r.poison_served, 0);
+      failed += r.poison_calls_late > LATE_MOST || r.poison_crashes > cases[i].crashed_most ||
                 credit < cases[i].least;
     }
   assert_int_equal (failed, 0);
@@ -108,20 +108,20 @@
 
 /* Fails if @crasher ends more than @most targets in one of twenty seeds. */
 static void
-S_check_ended (const char *name, const WorldCrasher *crasher, guint most)
+S_check_ended (const char *name, const SimPoisonRequest *crasher, guint most)
 {
   guint failed = 0;
   for (guint seed = 1; seed <= 20; seed++)
     {
-      WorldPlan plan = { SITE, .crasher = *crasher, .news_ms = 20 };
-      WorldResult r;
+      SimPlan plan = { SITE, .poison = *crasher, .evidence_delay_ms = 20 };
+      SimResult r;
       plan.seed = seed;
-      world_run (&plan, &r);
-      if (seed == 1 || r.crashed > most)
+      sim_run (&plan, &r);
+      if (seed == 1 || r.poison_crashes > most)
         printf ("%s, seed %2u: ended %3u calls %3u, others' credit %.3f refused %u\n", name, seed,
-                r.crashed, r.crasher_calls, r.kinds[0].credit / MAX (r.kinds[0].asked, 1),
-                r.kinds[0].refused);
-      failed += r.crashed > most;
+                r.poison_crashes, r.poison_calls,
+                r.routes[0].utility / MAX (r.routes[0].requests, 1), r.routes[0].refused);
+      failed += r.poison_crashes > most;
     }
   assert_int_equal (failed, 0);
 }
@@ -135,9 +135,11 @@
 static void
 test_second_sends_wait_for_an_answer (void **state)
 {
-  static const WorldCrasher crasher = {
-    .count = 1, .from_ms = 5000, .crash_ms = 120, .back_ms = 3000, .goes_on = true
-  };
+  static const SimPoisonRequest crasher = { .count = 1,
+                                            .from_ms = 5000,
+                                            .time_to_crash_ms = 120,
+                                            .restart_ms = 3000,
+                                            .crashes_after_disconnect = true };
   (void) state;
   /* One target a shard, one second send, and the one that makes certain. */
   S_check_ended ("second sends", &crasher, 10 + 1 + 1);
@@ -155,22 +157,22 @@
   (void) state;
   for (guint seed = 1; seed <= 40; seed++)
     {
-      WorldPlan plan = { SITE,
-                         .crasher = { .count = 1,
-                                      .from_ms = 3000,
-                                      .copies = 2,
-                                      .crash_ms = 60 + seed % 4 * 20,
-                                      .back_ms = 3000,
-                                      .goes_on = true },
-                         .news_ms = 10 };
+      SimPlan plan = { SITE,
+                       .poison = { .count = 1,
+                                   .from_ms = 3000,
+                                   .copies = 2,
+                                   .time_to_crash_ms = 60 + seed % 4 * 20,
+                                   .restart_ms = 3000,
+                                   .crashes_after_disconnect = true },
+                       .evidence_delay_ms = 10 };
       plan.seed = seed;
-      plan.seconds = 8;
-      WorldResult r;
-      world_run (&plan, &r);
-      guint blocked = r.kinds[0].quarantined + r.kinds[1].quarantined;
+      plan.duration_s = 8;
+      SimResult r;
+      sim_run (&plan, &r);
+      guint blocked = r.routes[0].quarantined + r.routes[1].quarantined;
       if (blocked > 0)
-        printf ("in company, seed %2u: ended %3u, blocked %u %u\n", seed, r.crashed,
-                r.kinds[0].quarantined, r.kinds[1].quarantined);
+        printf ("in company, seed %2u: ended %3u, blocked %u %u\n", seed, r.poison_crashes,
+                r.routes[0].quarantined, r.routes[1].quarantined);
       failed += blocked > 0 ? 1 : 0;
     }
   assert_int_equal (failed, 0);
@@ -184,14 +186,14 @@
 static void
 test_further_contents_end_few (void **state)
 {
-  static const WorldCrasher crasher = { .count = 4,
-                                        .from_ms = 3000,
-                                        .gap_ms = 4000,
-                                        .varies = true,
-                                        .repeats = 1,
-                                        .crash_ms = 60,
-                                        .back_ms = 3000,
-                                        .goes_on = true };
+  static const SimPoisonRequest crasher = { .count = 4,
+                                            .from_ms = 3000,
+                                            .interval_ms = 4000,
+                                            .varying_content = true,
+                                            .caller_retries = 1,
+                                            .time_to_crash_ms = 60,
+                                            .restart_ms = 3000,
+                                            .crashes_after_disconnect = true };
   (void) state;
   /* One target a shard, a second send and a trial for the first; what makes certain for
    * each of the three others. */
@@ -208,7 +210,7 @@
   (void) state;
   for (guint unsafe = 0; unsafe < 2; unsafe++)
     {
-      WorldPlan plan = {
+      SimPlan plan = {
         .seed = 7,
         .daemons = 6,
         .shards = 1,
@@ -216,29 +218,30 @@
         .slots = 5,
         .queue = 20,
         .connections = 60,
-        .seconds = 30,
+        .duration_s = 30,
         .attempts = 2,
-        .routes = { { .per_second = 20,
-                      .work_ms = 30,
-                      .aim_ms = 200,
+        .routes = { { .requests_per_second = 20,
+                      .service_time_ms = 30,
+                      .latency_goal_ms = 200,
                       .deadline_ms = 2000,
                       .unsafe = unsafe == 1 } },
-        .crasher = { .count = 10,
-                     .from_ms = 3000,
-                     .gap_ms = 2500,
-                     .repeats = 1,
-                     .crash_ms = 30,
-                     .back_ms = 2000 },
-        .news_ms = 20,
+        .poison = { .count = 10,
+                    .from_ms = 3000,
+                    .interval_ms = 2500,
+                    .caller_retries = 1,
+                    .time_to_crash_ms = 30,
+                    .restart_ms = 2000 },
+        .evidence_delay_ms = 20,
       };
-      WorldResult r;
-      world_run (&plan, &r);
-      double credit = r.kinds[0].credit / MAX (r.kinds[0].asked, 1);
+      SimResult r;
+      sim_run (&plan, &r);
+      double credit = r.routes[0].utility / MAX (r.routes[0].requests, 1);
       printf ("%-28s ended %3u calls %3u late %3u, others' credit %.3f refused %u failed %u\n",
-              names[unsafe], r.crashed, r.crasher_calls, r.crasher_late, credit, r.kinds[0].refused,
-              r.kinds[0].failed);
+              names[unsafe], r.poison_crashes, r.poison_calls, r.poison_calls_late, credit,
+              r.routes[0].refused, r.routes[0].failed);
       assert_int_equal (r.ran_twice, 0);
-      failed += r.crasher_late > LATE_MOST || r.crashed > 3 + LATE_MOST || credit < 0.95;
+      failed +=
+          r.poison_calls_late > LATE_MOST || r.poison_crashes > 3 + LATE_MOST || credit < 0.95;
     }
   assert_int_equal (failed, 0);
 }
@@ -250,7 +253,7 @@
 typedef struct
 {
   const char *name;
-  WorldEvent events[8];
+  SimFault events[8];
   double least; /* credit of the wide searches */
 } Calm;
 
@@ -260,32 +263,35 @@
 };
 
 static const Calm calms[] = {
-  { "a rack", { { WORLD_ENDS, 0, 29, 3, 3000, 6000, 0 } }, 0.95 },
+  { "a rack", { { SIM_FAULT_CRASHED, 0, 29, 3, 3000, 6000, 0 } }, 0.95 },
   { "a seventh, three times",
-    { { WORLD_ENDS, 0, 29, 7, 3000, 5000, 0 },
-      { WORLD_ENDS, 1, 29, 7, 7000, 9000, 0 },
-      { WORLD_ENDS, 2, 29, 7, 11000, 13000, 0 } },
+    { { SIM_FAULT_CRASHED, 0, 29, 7, 3000, 5000, 0 },
+      { SIM_FAULT_CRASHED, 1, 29, 7, 7000, 9000, 0 },
+      { SIM_FAULT_CRASHED, 2, 29, 7, 11000, 13000, 0 } },
     0.95 },
   { "one after the other",
-    { { WORLD_ENDS, 0, 29, 8, 3000, 6000, 0 },
-      { WORLD_ENDS, 1, 29, 8, 3030, 6000, 0 },
-      { WORLD_ENDS, 2, 29, 8, 3060, 6000, 0 },
-      { WORLD_ENDS, 3, 29, 8, 3090, 6000, 0 },
-      { WORLD_ENDS, 4, 29, 8, 3120, 6000, 0 },
-      { WORLD_ENDS, 5, 29, 8, 3150, 6000, 0 },
-      { WORLD_ENDS, 6, 29, 8, 3180, 6000, 0 } },
+    { { SIM_FAULT_CRASHED, 0, 29, 8, 3000, 6000, 0 },
+      { SIM_FAULT_CRASHED, 1, 29, 8, 3030, 6000, 0 },
+      { SIM_FAULT_CRASHED, 2, 29, 8, 3060, 6000, 0 },
+      { SIM_FAULT_CRASHED, 3, 29, 8, 3090, 6000, 0 },
+      { SIM_FAULT_CRASHED, 4, 29, 8, 3120, 6000, 0 },
+      { SIM_FAULT_CRASHED, 5, 29, 8, 3150, 6000, 0 },
+      { SIM_FAULT_CRASHED, 6, 29, 8, 3180, 6000, 0 } },
     0.70 },
-  { "all of two shards", { { WORLD_ENDS, 0, 5, 1, 3000, 8000, 0 } }, 0.70 },
-  { "all at once", { { WORLD_ENDS, 0, 29, 1, 3000, 4000, 0 } }, 0.90 },
+  { "all of two shards", { { SIM_FAULT_CRASHED, 0, 5, 1, 3000, 8000, 0 } }, 0.70 },
+  { "all at once", { { SIM_FAULT_CRASHED, 0, 29, 1, 3000, 4000, 0 } }, 0.90 },
   { "a rack, and answers lost",
-    { { WORLD_ENDS, 0, 29, 3, 3000, 6000, 0 }, { WORLD_BREAKS, 1, 29, 3, 3000, 6000, 0.2 } },
+    { { SIM_FAULT_CRASHED, 0, 29, 3, 3000, 6000, 0 },
+      { SIM_FAULT_LOSES_RESPONSES, 1, 29, 3, 3000, 6000, 0.2 } },
     0.85 },
-  { "a rack, and its entries", { { WORLD_VANISHES, 0, 29, 3, 3000, 0, 0 } }, 0.95 },
+  { "a rack, and its entries", { { SIM_FAULT_CRASHED_AND_REMOVED, 0, 29, 3, 3000, 0, 0 } }, 0.95 },
   { "a few entries, one after the other",
-    { { WORLD_VANISHES, 0, 29, 10, 3000, 0, 0 }, { WORLD_VANISHES, 1, 29, 10, 3030, 0, 0 } },
+    { { SIM_FAULT_CRASHED_AND_REMOVED, 0, 29, 10, 3000, 0, 0 },
+      { SIM_FAULT_CRASHED_AND_REMOVED, 1, 29, 10, 3030, 0, 0 } },
     0.70 },
   { "two racks, dark and ended",
-    { { WORLD_DARK, 0, 29, 3, 3000, 6000, 0 }, { WORLD_ENDS, 1, 29, 3, 3000, 6000, 0 } },
+    { { SIM_FAULT_UNRESPONSIVE, 0, 29, 3, 3000, 6000, 0 },
+      { SIM_FAULT_CRASHED, 1, 29, 3, 3000, 6000, 0 } },
     0.70 },
 };
 
@@ -293,23 +299,25 @@
 static gboolean
 S_serves (const Calm *calm, guint seed)
 {
-  WorldPlan plan = { SITE, .popular = seed % 2 * 0.5, .news_ms = 20 };
+  SimPlan plan = { SITE, .popular_ratio = seed % 2 * 0.5, .evidence_delay_ms = 20 };
   plan.seed = seed;
-  plan.routes[2] = (WorldRoute){
-    .per_second = 40, .work_ms = 40, .aim_ms = 400, .deadline_ms = 2000, .unsafe = seed % 3 == 0
-  };
-  memcpy (plan.events, calm->events, sizeof plan.events);
-  WorldResult r;
-  world_run (&plan, &r);
-  double credit = r.kinds[0].credit / MAX (r.kinds[0].asked, 1);
-  guint blocked = r.kinds[0].quarantined + r.kinds[1].quarantined + r.kinds[2].quarantined;
+  plan.routes[2] = (SimRoute){ .requests_per_second = 40,
+                               .service_time_ms = 40,
+                               .latency_goal_ms = 400,
+                               .deadline_ms = 2000,
+                               .unsafe = seed % 3 == 0 };
+  memcpy (plan.faults, calm->events, sizeof plan.faults);
+  SimResult r;
+  sim_run (&plan, &r);
+  double credit = r.routes[0].utility / MAX (r.routes[0].requests, 1);
+  guint blocked = r.routes[0].quarantined + r.routes[1].quarantined + r.routes[2].quarantined;
   gboolean serves = blocked == 0 && credit >= calm->least;
   if (seed == 1 || !serves)
     printf ("%-28s seed %2u: blocked %u %u %u, credit %.3f refused %u failed %u, single "
             "failed %u\n",
-            calm->name, seed, r.kinds[0].quarantined, r.kinds[1].quarantined,
-            r.kinds[2].quarantined, credit, r.kinds[0].refused, r.kinds[0].failed,
-            r.kinds[2].failed);
+            calm->name, seed, r.routes[0].quarantined, r.routes[1].quarantined,
+            r.routes[2].quarantined, credit, r.routes[0].refused, r.routes[0].failed,
+            r.routes[2].failed);
   return serves;
 }
 
@@ -348,12 +356,12 @@
 test_popular_is_never_blocked (void **state)
 {
   static const Calm all_in_34_ms = { "all within 34 ms",
-                                     { { WORLD_ENDS, 0, 29, 6, 3000, 5000, 0 },
-                                       { WORLD_ENDS, 1, 29, 6, 3006, 5000, 0 },
-                                       { WORLD_ENDS, 2, 29, 6, 3011, 5000, 0 },
-                                       { WORLD_ENDS, 3, 29, 6, 3020, 5000, 0 },
-                                       { WORLD_ENDS, 4, 29, 6, 3025, 5000, 0 },
-                                       { WORLD_ENDS, 5, 29, 6, 3034, 5000, 0 } },
+                                     { { SIM_FAULT_CRASHED, 0, 29, 6, 3000, 5000, 0 },
+                                       { SIM_FAULT_CRASHED, 1, 29, 6, 3006, 5000, 0 },
+                                       { SIM_FAULT_CRASHED, 2, 29, 6, 3011, 5000, 0 },
+                                       { SIM_FAULT_CRASHED, 3, 29, 6, 3020, 5000, 0 },
+                                       { SIM_FAULT_CRASHED, 4, 29, 6, 3025, 5000, 0 },
+                                       { SIM_FAULT_CRASHED, 5, 29, 6, 3034, 5000, 0 } },
                                      0.70 };
   guint failed = 0;
   (void) state;
@@ -361,15 +369,15 @@
     for (guint seed = 1; seed <= 10; seed++)
       {
         const Calm *calm = i < G_N_ELEMENTS (calms) ? &calms[i] : &all_in_34_ms;
-        WorldPlan plan = { SITE, .popular = 1, .news_ms = 20 };
+        SimPlan plan = { SITE, .popular_ratio = 1, .evidence_delay_ms = 20 };
         plan.seed = seed;
-        memcpy (plan.events, calm->events, sizeof plan.events);
-        WorldResult r;
-        world_run (&plan, &r);
-        guint blocked = r.kinds[0].quarantined + r.kinds[1].quarantined;
+        memcpy (plan.faults, calm->events, sizeof plan.faults);
+        SimResult r;
+        sim_run (&plan, &r);
+        guint blocked = r.routes[0].quarantined + r.routes[1].quarantined;
         if (blocked > 0)
-          printf ("%-28s seed %2u: blocked %u %u\n", calm->name, seed, r.kinds[0].quarantined,
-                  r.kinds[1].quarantined);
+          printf ("%-28s seed %2u: blocked %u %u\n", calm->name, seed, r.routes[0].quarantined,
+                  r.routes[1].quarantined);
         failed += blocked > 0 ? 1 : 0;
       }
   assert_int_equal (failed, 0);
--- a/test/test_relay_load.c
+++ b/test/test_relay_load.c
@@ -16,7 +16,7 @@
 typedef struct
 {
   const char *name;
-  WorldPlan plan;
+  SimPlan plan;
   double least[2]; /* credit of each kind, as a share of what was asked */
 } Case;
 
@@ -29,27 +29,32 @@
    * a tenth).  Searches can do without one shard (81 % of their worth), so each
    * leaves out one of the two now and then, and both are in time for the rest. */
   { "two shards over full",
-    { SITE_AT (177, 59),
-      .events = { { WORLD_GONE, 0, 1, 1, 1000, 0, 0 }, { WORLD_GONE, 3, 4, 1, 1000, 0, 0 } } },
+    { SITE_WITH_RATES (177, 59), .faults = { { SIM_FAULT_REMOVED, 0, 1, 1, 1000, 0, 0 },
+                                             { SIM_FAULT_REMOVED, 3, 4, 1, 1000, 0, 0 } } },
     { 0.75, 0.70 } },
   /* One shard has one target left, which the peak asks for 110 % of its slots, and
    * every answer needs it: some are refused at once, the rest are in time. */
   { "a needed shard over full",
-    { NEEDY_SITE_AT (177, 59), .events = { { WORLD_GONE, 0, 1, 1, 1000, 0, 0 } } },
+    { HIGH_COVERAGE_SITE_WITH_RATES (177, 59),
+      .faults = { { SIM_FAULT_REMOVED, 0, 1, 1, 1000, 0, 0 } } },
     { 0.75, 0.60 } },
   /* Three and four times as many callers as usual: the shards' slots are 85 and
    * 112 % busy.  What waits at the targets is served in the order it came, and the
    * kind with 80 ms for its answer got nothing in time while the other's calls
    * queued before it.  The daemons keep the queue and refuse some of both kinds at
    * once, so that the rest of both is in time. */
-  { "three times the load", { SITE_AT (447, 144) }, { 0.84, 0.65 } },
-  { "four times the load", { SITE_AT (596, 192) }, { 0.65, 0.35 } },
+  { "three times the load", { SITE_WITH_RATES (447, 144) }, { 0.84, 0.65 } },
+  { "four times the load", { SITE_WITH_RATES (596, 192) }, { 0.65, 0.35 } },
   /* A shard is dark for good: calls to it hang, then its targets are down and
    * searches go out without it. */
-  { "a dark shard", { SITE, .events = { { WORLD_DARK, 0, 2, 1, 3000, 0, 0 } } }, { 0.80, 0.80 } },
+  { "a dark shard",
+    { SITE, .faults = { { SIM_FAULT_UNRESPONSIVE, 0, 2, 1, 3000, 0, 0 } } },
+    { 0.80, 0.80 } },
   /* A third of the targets shed half of their calls: refusals are retried
    * elsewhere within the budget, and targets that refuse are given less. */
-  { "shedding", { SITE, .events = { { WORLD_SHEDS, 0, 29, 3, 3000, 0, 0.45 } } }, { 0.90, 0.90 } },
+  { "shedding",
+    { SITE, .faults = { { SIM_FAULT_SHEDS, 0, 29, 3, 3000, 0, 0.45 } } },
+    { 0.90, 0.90 } },
   { "another site, calm", { QUICK_SITE }, { 0.97, 0.96 } },
   /* Every second target refuses 60 % of its calls, so that one shard in eight has none
    * that does not.  Work goes to those that do not refuse, though they are farther or
@@ -57,31 +62,33 @@
    * a request may go to, once: 0.962 and 0.876 of the two kinds' worth, 0.912 and 0.862
    * without both. */
   { "half shed",
-    { QUICK_SITE, .events = { { WORLD_SHEDS, 0, 29, 2, 3000, 0, 0.6 } } },
+    { QUICK_SITE, .faults = { { SIM_FAULT_SHEDS, 0, 29, 2, 3000, 0, 0.6 } } },
     { 0.93, 0.82 } },
   /* All targets of eight shards do, and the bound on second sends repairs a quarter of
    * it: what is served is served whole, with each second send where it may help. */
   { "most shed",
-    { QUICK_SITE, .events = { { WORLD_SHEDS, 0, 23, 1, 3000, 0, 0.6 } } },
+    { QUICK_SITE, .faults = { { SIM_FAULT_SHEDS, 0, 23, 1, 3000, 0, 0.6 } } },
     { 0.13, 0.19 } },
   /* Most targets lose 40 % of their answers after the work was done. */
   { "most break",
-    { QUICK_SITE, .events = { { WORLD_BREAKS, 0, 25, 1, 3000, 0, 0.4 } } },
+    { QUICK_SITE, .faults = { { SIM_FAULT_LOSES_RESPONSES, 0, 25, 1, 3000, 0, 0.4 } } },
     { 0.30, 0.43 } },
-  { "a sixth slow", { SITE, .events = { { WORLD_SLOW, 0, 29, 6, 3000, 0, 8 } } }, { 0.90, 0.90 } },
+  { "a sixth slow",
+    { SITE, .faults = { { SIM_FAULT_SLOW, 0, 29, 6, 3000, 0, 8 } } },
+    { 0.90, 0.90 } },
 };
 
 static void
-S_check_rules (const char *name, const WorldResult *r)
+S_check_rules (const char *name, const SimResult *r)
 {
-  if (r->worst_window_extra || r->ran_twice || r->false_not_run || r->over_attempts ||
-      r->after_leaving || r->longer_than_left || r->unanswered || r->late_verdicts ||
-      r->shards_wrong)
+  if (r->max_budget_excess || r->ran_twice || r->false_not_run || r->excess_attempts ||
+      r->calls_after_leaving || r->deadlines_extended || r->unanswered || r->late_verdicts ||
+      r->wrong_shard_counts)
     fail_msg ("%s: extra %u, twice %u, false not-run %u, attempts %u, leaving %u, time %u, "
               "unanswered %u, late %u, shards %u",
-              name, r->worst_window_extra, r->ran_twice, r->false_not_run, r->over_attempts,
-              r->after_leaving, r->longer_than_left, r->unanswered, r->late_verdicts,
-              r->shards_wrong);
+              name, r->max_budget_excess, r->ran_twice, r->false_not_run, r->excess_attempts,
+              r->calls_after_leaving, r->deadlines_extended, r->unanswered, r->late_verdicts,
+              r->wrong_shard_counts);
 }
 
 static void
@@ -90,17 +97,17 @@
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      WorldResult result;
-      world_run (&cases[i].plan, &result);
+      SimResult result;
+      sim_run (&cases[i].plan, &result);
       S_check_rules (cases[i].name, &result);
       for (guint k = 0; k < 2; k++)
         {
-          const WorldKind *kind = &result.kinds[k];
-          double credit = kind->credit / MAX (kind->asked, 1);
+          const SimRouteStats *kind = &result.routes[k];
+          double credit = kind->utility / MAX (kind->requests, 1);
           printf ("%-24s kind %u: asked %5u in time %5u late %4u refused %4u failed %3u credit "
                   "%.3f missing %.3f\n",
-                  cases[i].name, k, kind->asked, kind->in_time, kind->late, kind->refused,
-                  kind->failed, credit, kind->missing / MAX (kind->asked, 1));
+                  cases[i].name, k, kind->requests, kind->on_time, kind->late, kind->refused,
+                  kind->failed, credit, kind->missing_shards / MAX (kind->requests, 1));
           if (credit < cases[i].least[k])
             fail_msg ("%s, kind %u: credit %.3f, expected %.3f", cases[i].name, k, credit,
                       cases[i].least[k]);
@@ -119,22 +126,24 @@
   (void) state;
   for (guint seed = 1; seed <= 10; seed++)
     {
-      WorldPlan plan = {
+      SimPlan plan = {
         SITE,
       };
-      WorldResult result;
+      SimResult result;
       plan.seed = seed;
-      plan.seconds = 0.03;
+      plan.duration_s = 0.03;
       plan.pause_ms = 0;
-      plan.routes[0] = (WorldRoute){
-        .per_second = 30000, .work_ms = 1, .aim_ms = 1000, .deadline_ms = 3000, .least_share = 0.5
-      };
-      plan.routes[1] = (WorldRoute){ 0 };
-      world_run (&plan, &result);
-      const WorldKind *kind = &result.kinds[0];
-      if (kind->missing > 0)
-        fail_msg ("seed %u: %.0f parts of %u answers are missing", seed, kind->missing,
-                  kind->in_time + kind->late);
+      plan.routes[0] = (SimRoute){ .requests_per_second = 30000,
+                                   .service_time_ms = 1,
+                                   .latency_goal_ms = 1000,
+                                   .deadline_ms = 3000,
+                                   .min_coverage = 0.5 };
+      plan.routes[1] = (SimRoute){ 0 };
+      sim_run (&plan, &result);
+      const SimRouteStats *kind = &result.routes[0];
+      if (kind->missing_shards > 0)
+        fail_msg ("seed %u: %.0f parts of %u answers are missing", seed, kind->missing_shards,
+                  kind->on_time + kind->late);
     }
 }
 
--- a/test/test_listing.c
+++ b/test/test_removal_filter.c
@@ -1,6 +1,6 @@
 /* Which targets are believed gone, around outages of the store. */
 
-#include "listing.h"
+#include "removal_filter.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -95,7 +95,7 @@
 };
 
 static void
-S_play (MrListing *listing, const Step *step, const char *name)
+S_play (MrRemovalFilter *listing, const Step *step, const char *name)
 {
   MrTime now = step->at * MR_MS;
   char *gone = NULL;
@@ -104,21 +104,21 @@
     {
     case STEP_DOWN:
     case STEP_UP:
-      mr_listing_set_store (listing, now, step->action == STEP_UP);
+      mr_removal_filter_set_store_up (listing, now, step->action == STEP_UP);
       break;
     case STEP_PRESENT:
-      mr_listing_present (listing, step->name, step->version);
+      mr_removal_filter_add_present (listing, step->name, step->version);
       break;
     case STEP_REMOVED:
-      mr_listing_removed (listing, now, step->name, step->version);
+      mr_removal_filter_add_removed (listing, now, step->name, step->version);
       break;
     case STEP_GONE:
-      if (!mr_listing_take (listing, now, &gone, &version) ||
+      if (!mr_removal_filter_take_due (listing, now, &gone, &version) ||
           (step->name && !g_str_equal (gone, step->name)))
         fail_msg ("%s: not believed gone at %d ms", name, (int) step->at);
       break;
     case STEP_KEPT:
-      if (mr_listing_take (listing, now, &gone, &version))
+      if (mr_removal_filter_take_due (listing, now, &gone, &version))
         fail_msg ("%s: %s is believed gone at %d ms", name, gone, (int) step->at);
       break;
     case STEP_END:
@@ -136,11 +136,11 @@
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      MrListing *listing = mr_listing_new ();
-      mr_listing_set_known (listing, cases[i].known);
+      MrRemovalFilter *listing = mr_removal_filter_new ();
+      mr_removal_filter_set_object_count (listing, cases[i].known);
       for (const Step *step = cases[i].steps; step->action != STEP_END; step++)
         S_play (listing, step, cases[i].name);
-      mr_listing_free (listing);
+      mr_removal_filter_free (listing);
     }
 }
 
--- a/test/test_patience.c
+++ b/test/test_soft_deadline.c
@@ -1,6 +1,6 @@
 /* How long a search waits for its last parts, and what that leaves for its answer. */
 
-#include "patience.h"
+#include "soft_deadline.h"
 
 #include <glib.h>
 #include <setjmp.h>
@@ -38,15 +38,15 @@
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      const MrPatienceTerms terms = {
-        .aim = cases[i].aim * MR_MS,
+      const MrSoftDeadlineParams terms = {
+        .latency_goal = cases[i].aim * MR_MS,
         .time_limit = cases[i].limit * MR_MS,
-        .left = cases[i].left * MR_MS,
+        .remaining = cases[i].left * MR_MS,
         .round_trip = cases[i].round_trip * MR_MS,
-        .reserve = cases[i].reserve * MR_MS,
+        .response_overhead = cases[i].reserve * MR_MS,
       };
-      if (mr_patience (&terms) != cases[i].patience * MR_MS)
-        fail_msg ("%s: %d us", cases[i].name, (int) mr_patience (&terms));
+      if (mr_soft_deadline (&terms) != cases[i].patience * MR_MS)
+        fail_msg ("%s: %d us", cases[i].name, (int) mr_soft_deadline (&terms));
     }
 }
 
@@ -71,12 +71,13 @@
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      MrFinishTime finish = { 0 };
-      assert_int_equal (mr_finish_time_reserve (&finish), 12 * MR_MS);
+      MrResponseOverhead finish = { 0 };
+      assert_int_equal (mr_response_overhead_estimate (&finish), 12 * MR_MS);
       for (int n = 0; n < 100; n++)
-        mr_finish_time_note (&finish, cases[i].least_us + (cases[i].most_us - cases[i].least_us) *
-                                                              (n * 7 % 11) / 10);
-      MrTime reserve = mr_finish_time_reserve (&finish) / MR_MS;
+        mr_response_overhead_add (&finish,
+                                  cases[i].least_us +
+                                      (cases[i].most_us - cases[i].least_us) * (n * 7 % 11) / 10);
+      MrTime reserve = mr_response_overhead_estimate (&finish) / MR_MS;
       if (reserve < cases[i].from_ms || reserve > cases[i].to_ms)
         fail_msg ("%s: %d ms", cases[i].name, (int) reserve);
     }
--- a/test/test_start_queue.c
+++ b/test/test_startup_queue.c
@@ -1,6 +1,6 @@
 /* Requests that come before a daemon knows what is in force. */
 
-#include "start_queue.h"
+#include "startup_queue.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -29,26 +29,27 @@
   } cases[] = {
     { "at once", 0, 0, TRUE },
     { "while the store is read", 80 * MR_MS, 40, TRUE },
-    { "as the time ends", MR_START_PATIENCE - 1, 40, TRUE },
-    { "with neither store nor peers", MR_START_PATIENCE, 0, FALSE },
-    { "the last that fits", 10 * MR_MS, MR_START_QUEUE_MOST - 1, TRUE },
-    { "one too many", 10 * MR_MS, MR_START_QUEUE_MOST, FALSE },
+    { "as the time ends", MR_STARTUP_MAX_WAIT - 1, 40, TRUE },
+    { "with neither store nor peers", MR_STARTUP_MAX_WAIT, 0, FALSE },
+    { "the last that fits", 10 * MR_MS, MR_STARTUP_QUEUE_MAX - 1, TRUE },
+    { "one too many", 10 * MR_MS, MR_STARTUP_QUEUE_MAX, FALSE },
   };
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      MrStartQueue *queue = mr_start_queue_new (STARTED);
-      MrWaitingRequest waiting = { 0 };
+      MrStartupQueue *queue = mr_startup_queue_new (STARTED);
+      MrQueuedRequest waiting = { 0 };
       for (guint n = 0; n < cases[i].before; n++)
         {
           waiting.caller = GUINT_TO_POINTER (n + 1);
-          assert_true (mr_start_queue_add (queue, STARTED, &waiting));
+          assert_true (mr_startup_queue_push (queue, STARTED, &waiting));
         }
       waiting.caller = &waiting;
-      if (mr_start_queue_add (queue, STARTED + cases[i].at, &waiting) != cases[i].waits)
+      if (mr_startup_queue_push (queue, STARTED + cases[i].at, &waiting) != cases[i].waits)
         fail_msg ("%s", cases[i].name);
-      assert_int_equal (mr_start_queue_length (queue), cases[i].before + (cases[i].waits ? 1 : 0));
-      mr_start_queue_free (queue);
+      assert_int_equal (mr_startup_queue_length (queue),
+                        cases[i].before + (cases[i].waits ? 1 : 0));
+      mr_startup_queue_free (queue);
     }
 }
 
@@ -56,26 +57,26 @@
 test_order_and_callers_who_leave (void **state)
 {
   (void) state;
-  MrStartQueue *queue = mr_start_queue_new (STARTED);
-  MrWaitingRequest waiting = { 0 };
+  MrStartupQueue *queue = mr_startup_queue_new (STARTED);
+  MrQueuedRequest waiting = { 0 };
   char callers[3] = { 0 };
-  assert_int_equal (mr_start_queue_due (queue), MR_NEVER);
+  assert_int_equal (mr_startup_queue_deadline (queue), MR_NEVER);
   for (gsize i = 0; i < G_N_ELEMENTS (callers); i++)
     {
       waiting.caller = &callers[i];
-      waiting.began = STARTED + (MrTime) i;
-      mr_start_queue_add (queue, STARTED, &waiting);
+      waiting.first_byte_at = STARTED + (MrTime) i;
+      mr_startup_queue_push (queue, STARTED, &waiting);
     }
-  assert_int_equal (mr_start_queue_due (queue), STARTED + MR_START_PATIENCE);
-  assert_true (mr_start_queue_remove (queue, &callers[1]));
-  assert_false (mr_start_queue_remove (queue, &callers[1]));
-  assert_true (mr_start_queue_take (queue, &waiting));
+  assert_int_equal (mr_startup_queue_deadline (queue), STARTED + MR_STARTUP_MAX_WAIT);
+  assert_true (mr_startup_queue_remove (queue, &callers[1]));
+  assert_false (mr_startup_queue_remove (queue, &callers[1]));
+  assert_true (mr_startup_queue_pop (queue, &waiting));
   assert_ptr_equal (waiting.caller, &callers[0]);
-  assert_true (mr_start_queue_take (queue, &waiting));
+  assert_true (mr_startup_queue_pop (queue, &waiting));
   assert_ptr_equal (waiting.caller, &callers[2]);
-  assert_int_equal (waiting.began, STARTED + 2);
-  assert_false (mr_start_queue_take (queue, &waiting));
-  mr_start_queue_free (queue);
+  assert_int_equal (waiting.first_byte_at, STARTED + 2);
+  assert_false (mr_startup_queue_pop (queue, &waiting));
+  mr_startup_queue_free (queue);
 }
 
 int
--- a/test/test_target_client.c
+++ b/test/test_target_client.c
@@ -145,7 +145,7 @@
   MrTargetState *state = mr_target_state_new (&target, "127.0.0.1");
   MrTime begun = mr_now ();
   MrTime told = 0;
-  assert_int_equal (mr_health_on_break (&state->health, begun), MR_HEALTH_PROBE);
+  assert_int_equal (mr_health_on_connection_error (&state->health, begun), MR_HEALTH_ACTION_PROBE);
   mr_target_client_probe (f.client, begun, state);
   for (MrTime now = begun; now < begun + RESULT_MOST || now < told + QUIET; now = mr_now ())
     {
--- a/test/test_withdrawn.c
+++ b/test/test_withdrawn.c
@@ -29,18 +29,19 @@
   (void) state;
   for (guint seed = 1; seed <= 5; seed++)
     {
-      WorldPlan plan = { SITE,
-                         .crasher = { .count = 3,
-                                      .from_ms = 2000,
-                                      .gap_ms = 6000,
-                                      .crash_ms = 60,
-                                      .withdrawn = true },
-                         .news_ms = 20 };
-      WorldResult r;
+      SimPlan plan = { SITE,
+                       .poison = { .count = 3,
+                                   .from_ms = 2000,
+                                   .interval_ms = 6000,
+                                   .time_to_crash_ms = 60,
+                                   .removes_target = true },
+                       .evidence_delay_ms = 20 };
+      SimResult r;
       plan.seed = seed;
-      world_run (&plan, &r);
-      printf ("seed %u: ended %u, calls after the news %u\n", seed, r.crashed, r.crasher_late);
-      failed += r.crasher_late > LATE_MOST;
+      sim_run (&plan, &r);
+      printf ("seed %u: ended %u, calls after the news %u\n", seed, r.poison_crashes,
+              r.poison_calls_late);
+      failed += r.poison_calls_late > LATE_MOST;
     }
   assert_int_equal (failed, 0);
 }
