--- a/src/relay_trial.c
+++ b/src/relay_trial.c
@@ -1,81 +1,86 @@
+/* Trials: a request for a suspect content is sent to one target at a time, and its other parts
+ * are held until an answer clears the content. */
 #include "relay_private.h"
 
 enum
 {
-  /* Calls that a trial on probation may make in all. */
-  PROBATION_SENDS = 2,
+  /* Calls that a request on probation may send in total. */
+  PROBATION_CALLS_MAX = 2,
 };
 
 void
-mr_relay_hold_part (RequestPart *job)
+mr_relay_hold_part (RequestPart *part)
 {
-  if (job->held || job->ended)
+  if (part->held || part->ended)
     return;
-  job->held = TRUE;
-  job->hedge_at = MR_NEVER;
-  job->request->held_parts++;
+  part->held = TRUE;
+  part->hedge_at = MR_NEVER;
+  part->request->held_parts++;
 }
 
 static void
-S_unhold (RequestPart *job)
+S_unhold (RequestPart *part)
 {
-  job->held = FALSE;
-  job->request->held_parts--;
+  part->held = FALSE;
+  part->request->held_parts--;
 }
 
 gboolean
-mr_relay_is_suspicious (const MrActiveRequest *work)
+mr_relay_is_suspicious (const MrActiveRequest *request)
 {
-  return work->answered_parts == 0 && (work->suspect || work->crash_checks > 0);
+  return request->answered_parts == 0 && (request->suspect || request->crash_checks > 0);
 }
 
 static gboolean
-S_is_out (const RequestPart *job)
+S_is_pending (const RequestPart *part)
 {
-  return !job->ended &&
-         (job->queued || job->crash_checks > 0 || mr_relay_part_call_count (job) > 0);
+  return !part->ended &&
+         (part->queued || part->crash_checks > 0 || mr_relay_part_call_count (part) > 0);
 }
 
-/* Where targets end one after the other by themselves, 30 ms apart, a trial that goes out
- * between two of them meets the next; a search of its own was quarantined so.  So a request
- * that goes one by one waits until none has ended for a while that did not have it; a content
- * that ends its targets is on all that end, and is tried at once. */
+/* When targets crash one after the other for unrelated reasons, 30 ms apart, a trial that is sent
+ * between two crashes meets the next one; a harmless search was quarantined that way.  A request
+ * that sends one call at a time therefore waits until no target without a call of its content has
+ * crashed for MR_TRIAL_INTERVAL. A content that does crash its targets has a call on each target
+ * that crashes, so its trial is not delayed. */
 MrTime
-mr_relay_next_trial_time (const MrRelay *r, const MrActiveRequest *work)
+mr_relay_next_trial_time (const MrRelay *r, const MrActiveRequest *request)
 {
-  if (work->held_parts == 0 || work->cancel_at != MR_NEVER)
+  if (request->held_parts == 0 || request->cancel_at != MR_NEVER)
     return MR_NEVER;
-  for (guint i = 0; i < work->part_count; i++)
-    if (S_is_out (&work->parts[i]))
+  for (guint i = 0; i < request->part_count; i++)
+    if (S_is_pending (&request->parts[i]))
       return MR_NEVER;
-  if (!work->sequential)
-    return work->next_trial_at;
-  MrTime other = mr_relay_last_unrelated_crash (r, work->fingerprint);
-  return other == 0 ? work->next_trial_at : MAX (work->next_trial_at, other + MR_TRIAL_INTERVAL);
+  if (!request->sequential)
+    return request->next_trial_at;
+  MrTime unrelated_crash = mr_relay_last_unrelated_crash (r, request->fingerprint);
+  return unrelated_crash == 0 ? request->next_trial_at
+                              : MAX (request->next_trial_at, unrelated_crash + MR_TRIAL_INTERVAL);
 }
 
-/* Copies of one content at several daemons put the same shard at risk, since a search can do
- * without one; another content another shard. */
+/* The order depends on the content only.  Several daemons that try the same content thus put
+ * targets of the same shard at risk, which a search can do without; another content starts with
+ * another shard. */
 RequestPart *
-mr_relay_nth_part_by_risk (const MrActiveRequest *work, guint n)
+mr_relay_nth_part_by_risk (const MrActiveRequest *request, guint n)
 {
-  return &work->parts[(work->fingerprint.low + n) % work->part_count];
+  return &request->parts[(request->fingerprint.low + n) % request->part_count];
 }
 
 RequestPart *
-mr_relay_take_held_part (const MrActiveRequest *work, MrTime now)
+mr_relay_take_held_part (const MrActiveRequest *request, MrTime now)
 {
   RequestPart *best = NULL;
-  guint best_usable = 0;
-  for (guint i = 0; i < work->part_count; i++)
+  guint most_usable = 0;
+  for (guint i = 0; i < request->part_count; i++)
     {
-      RequestPart *job = mr_relay_nth_part_by_risk (work, i);
+      RequestPart *part = mr_relay_nth_part_by_risk (request, i);
       double room = 0;
-      guint usable = job->held ? mr_relay_group_capacity (job->group, now, &room) : 0;
-      if (job->held && (!best || usable > best_usable))
+      guint usable_targets = part->held ? mr_relay_group_capacity (part->group, now, &room) : 0;
+      if (part->held && (!best || usable_targets > most_usable))
         {
-          best = job;
-          best_usable = usable;
+          best = part;
+          most_usable = usable_targets;
         }
     }
   g_assert (best);
@@ -84,14 +89,14 @@
 }
 
 void
-mr_relay_give_up (MrRelay *r, MrTime now, MrActiveRequest *work, MrCause cause)
+mr_relay_give_up (MrRelay *r, MrTime now, MrActiveRequest *request, MrCause cause)
 {
-  work->cause = cause;
-  mr_relay_finish_request (r, now, work, MR_VERDICT_REFUSED);
+  request->cause = cause;
+  mr_relay_finish_request (r, now, request, MR_VERDICT_REFUSED);
 }
 
-/* Where the next trial may end the third target, or is the only one that a quarantine has
- * left, daemons that each try once would be too many. */
+/* If the next trial may cause the third crash, or is the only trial left to a quarantined content,
+ * one trial by each daemon would be too many. */
 gboolean
 mr_relay_is_other_daemons_turn (MrRelay *r, const SuspectContent *content)
 {
@@ -100,133 +105,134 @@
 }
 
 void
-mr_relay_begin_trial (MrRelay *r, MrTime now, MrActiveRequest *work)
+mr_relay_begin_trial (MrRelay *r, MrTime now, MrActiveRequest *request)
 {
-  SuspectContent *content = mr_relay_get_suspect_content (r, work->fingerprint);
-  if (!work->crash_seen && mr_relay_is_other_daemons_turn (r, content))
+  SuspectContent *content = mr_relay_get_suspect_content (r, request->fingerprint);
+  if (!request->crash_seen && mr_relay_is_other_daemons_turn (r, content))
     {
-      mr_relay_give_up (r, now, work, MR_CAUSE_SUSPECT);
+      mr_relay_give_up (r, now, request, MR_CAUSE_SUSPECT);
       return;
     }
-  if (!work->counted_as_trial && content->trials > 0)
+  if (!request->counted_as_trial && content->trials > 0)
     {
-      work->next_trial_at = now + MR_TRIAL_INTERVAL;
-      mr_relay_schedule (r, work);
+      request->next_trial_at = now + MR_TRIAL_INTERVAL;
+      mr_relay_schedule (r, request);
       return;
     }
-  if (!work->counted_as_trial)
+  if (!request->counted_as_trial)
     content->trials++;
-  work->counted_as_trial = TRUE;
-  work->suspect = TRUE;
-  work->sequential = TRUE;
-  work->evidence_at_send = content->evidence;
-  RequestPart *job = mr_relay_take_held_part (work, now);
-  work->trial_part = job;
+  request->counted_as_trial = TRUE;
+  request->suspect = TRUE;
+  request->sequential = TRUE;
+  request->evidence_at_send = content->evidence;
+  RequestPart *part = mr_relay_take_held_part (request, now);
+  request->trial_part = part;
   r->counts.trials++;
-  mr_relay_send_or_queue (r, now, job, job->send_count > 0 ? MR_SEND_RETRY : MR_SEND_FIRST);
-  if (g_hash_table_contains (r->requests, work))
-    mr_relay_schedule (r, work);
+  mr_relay_send_or_queue (r, now, part, part->send_count > 0 ? MR_SEND_RETRY : MR_SEND_FIRST);
+  if (g_hash_table_contains (r->requests, request))
+    mr_relay_schedule (r, request);
 }
 
-/* Of a content that has ended as many as make a quarantine, if at one time, a request has one
- * call: where its targets neither answer nor end (dark, slow, or refusing) each of its
- * repeats would cost another two, without end. */
+/* Where enough targets for a quarantine have crashed, but on one occasion, each request for the
+ * content gets a single call.  If its targets neither answer nor crash (hanging, slow or refusing
+ * calls), each repeat by the caller would otherwise cost another two. */
 static gboolean
-S_has_had_trial (const MrRelay *r, const RequestPart *job)
+S_has_had_trial (const MrRelay *r, const RequestPart *part)
 {
   const SuspectContent *content =
-      g_hash_table_lookup (r->suspect_contents, &job->request->fingerprint);
-  return job->trial_reached_target && content &&
+      g_hash_table_lookup (r->suspect_contents, &part->request->fingerprint);
+  return part->trial_reached_target && content &&
          mr_evidence_crash_count (&content->evidence) >= MR_EVIDENCE_MAX_MARKS;
 }
 
 void
-mr_relay_retry_or_hold (MrRelay *r, MrTime now, RequestPart *job)
+mr_relay_retry_or_hold (MrRelay *r, MrTime now, RequestPart *part)
 {
-  MrActiveRequest *work = job->request;
-  if (S_has_had_trial (r, job))
+  MrActiveRequest *request = part->request;
+  if (S_has_had_trial (r, part))
     {
-      mr_relay_give_up (r, now, work, MR_CAUSE_SUSPECT);
+      mr_relay_give_up (r, now, request, MR_CAUSE_SUSPECT);
       return;
     }
-  if (work->probation && job->send_count >= PROBATION_SENDS)
+  if (request->probation && part->send_count >= PROBATION_CALLS_MAX)
     {
-      mr_relay_give_up (r, now, work, MR_CAUSE_QUARANTINED);
+      mr_relay_give_up (r, now, request, MR_CAUSE_QUARANTINED);
       return;
     }
-  if (!mr_relay_is_suspicious (work) || work->trial_part == job)
+  if (!mr_relay_is_suspicious (request) || request->trial_part == part)
     {
-      mr_relay_send_or_queue (r, now, job, MR_SEND_RETRY);
+      mr_relay_send_or_queue (r, now, part, MR_SEND_RETRY);
       return;
     }
-  mr_relay_hold_part (job);
-  mr_relay_schedule (r, work);
+  mr_relay_hold_part (part);
+  mr_relay_schedule (r, request);
 }
 
-/* An answer of any part clears the content.  It is overdue when calls have been out for this
- * many times as long as they usually take. */
+/* An answer to any part clears the content.  It is overdue when calls have taken this many times
+ * the usual time. */
 static const double OVERDUE_FACTOR = 1.5;
 
-/* Most targets drop the work of a connection that closes. */
+/* Most targets abandon the work of a connection that is closed. */
 void
-mr_relay_cancel_calls (MrRelay *r, MrTime now, MrActiveRequest *work)
+mr_relay_cancel_calls (MrRelay *r, MrTime now, MrActiveRequest *request)
 {
-  work->cancel_at = MR_NEVER;
-  /* Whose calls showed it tries first. */
-  work->next_trial_at = work->crash_seen ? now : now + MR_TRIAL_INTERVAL;
-  for (guint i = 0; i < work->part_count; i++)
+  request->cancel_at = MR_NEVER;
+  /* The request whose own calls met the crashes is tried first. */
+  request->next_trial_at = request->crash_seen ? now : now + MR_TRIAL_INTERVAL;
+  for (guint i = 0; i < request->part_count; i++)
     {
-      RequestPart *job = &work->parts[i];
-      if (job->ended)
+      RequestPart *part = &request->parts[i];
+      if (part->ended)
         continue;
-      work->may_have_run |= mr_relay_part_call_count (job) > 0;
-      mr_relay_cancel_part_calls (r, now, job);
-      mr_relay_dequeue (job);
-      if (job->crash_checks == 0)
-        mr_relay_hold_part (job);
+      request->may_have_run |= mr_relay_part_call_count (part) > 0;
+      mr_relay_cancel_part_calls (r, now, part);
+      mr_relay_dequeue (part);
+      if (part->crash_checks == 0)
+        mr_relay_hold_part (part);
     }
-  mr_relay_schedule (r, work);
+  mr_relay_schedule (r, request);
 }
 
-/* A search that has just been sent to targets which end under another content would lose,
- * with its calls, the answers that clear it, and be tried among targets that still end. */
+/* Calls in flight are not cancelled before an answer is overdue: a search that has just been sent
+ * to targets that crash because of another content would lose the answers that clear it, and its
+ * trials would run on targets that still crash. */
 void
-mr_relay_make_sequential (MrRelay *r, MrTime now, MrActiveRequest *work)
+mr_relay_make_sequential (MrRelay *r, MrTime now, MrActiveRequest *request)
 {
-  MrTime overdue = work->arrived + (MrTime) (OVERDUE_FACTOR * work->stats->median);
-  if (work->sequential)
+  MrTime overdue = request->arrived + (MrTime) (OVERDUE_FACTOR * request->stats->median);
+  if (request->sequential)
     return;
-  work->suspect = TRUE;
-  work->sequential = TRUE;
-  if (now >= overdue || !mr_relay_has_calls (work))
+  request->suspect = TRUE;
+  request->sequential = TRUE;
+  if (now >= overdue || !mr_relay_has_calls (request))
     {
-      mr_relay_cancel_calls (r, now, work);
+      mr_relay_cancel_calls (r, now, request);
       return;
     }
-  work->cancel_at = overdue;
-  mr_relay_schedule (r, work);
+  request->cancel_at = overdue;
+  mr_relay_schedule (r, request);
 }
 
 void
-mr_relay_release_held_parts (MrRelay *r, MrTime now, MrActiveRequest *work)
-{
-  work->suspect = FALSE;
-  work->sequential = FALSE;
-  work->staged = FALSE;
-  work->cancel_at = MR_NEVER;
-  work->trial_part = NULL;
-  for (guint i = 0; i < work->part_count; i++)
+mr_relay_release_held_parts (MrRelay *r, MrTime now, MrActiveRequest *request)
+{
+  request->suspect = FALSE;
+  request->sequential = FALSE;
+  request->staged = FALSE;
+  request->cancel_at = MR_NEVER;
+  request->trial_part = NULL;
+  for (guint i = 0; i < request->part_count; i++)
     {
-      RequestPart *job = &work->parts[i];
-      if (!job->held)
+      RequestPart *part = &request->parts[i];
+      if (!part->held)
         continue;
-      S_unhold (job);
-      if (job->send_count > 0)
-        mr_relay_send_or_queue (r, now, job, MR_SEND_RETRY);
+      S_unhold (part);
+      if (part->send_count > 0)
+        mr_relay_send_or_queue (r, now, part, MR_SEND_RETRY);
       else
-        mr_relay_begin_part (r, now, job);
-      if (!g_hash_table_contains (r->requests, work))
+        mr_relay_begin_part (r, now, part);
+      if (!g_hash_table_contains (r->requests, request))
         return;
     }
-  mr_relay_schedule (r, work);
+  mr_relay_schedule (r, request);
 }
