--- a/src/evidence.c
+++ b/src/evidence.c
@@ -4,46 +4,47 @@
 #include <stdlib.h>
 #include <xxhash.h>
 
-/* Ends of this many targets, on this many occasions, make a quarantine.  Three ends are
- * what a deployment bears of one content.  Targets that end together (a rack, a release
- * that fails) take several calls of one search with them, but not its next call, which
- * goes to a target that lives; so a second occasion is asked for. */
-static const guint ENDED_LEAST = 3;
-static const guint OCCASIONS_LEAST = 2;
-/* From here on any trial may end the third. */
-static const guint ENDED_AT_BOUND = 2;
-/* A quarantine is tried once, after this: a search that was blamed because of the loss of
- * a rack is served again when that loss is over; a content that does end its targets ends
+/* Crashes of this many targets, on this many occasions, lead to quarantine.  A deployment can bear
+ * three crashes because of one content.  Targets that crash together (a rack, a failed release)
+ * break several calls of one search, but not its next call, which goes to a live target; hence the
+ * second occasion. */
+static const guint QUARANTINE_MIN_CRASHES = 3;
+static const guint QUARANTINE_MIN_OCCASIONS = 2;
+/* With this many crashes any trial may cause the third. */
+static const guint EXCLUSIVE_TRIAL_CRASHES = 2;
+/* Delay before the one probation trial of a quarantined content.  A search that was blamed for the
+ * loss of a rack is served again once that is over; a content that does crash its targets crashes
  * one more. */
-static const guint32 PROBATION_AFTER_S = 30;
-/* A suspicion that nothing was added to, and the memory that one was void, are of no use
- * after this: callers repeat within seconds. */
-static const guint32 SUSPICION_KEPT_S = 600;
+static const guint32 PROBATION_DELAY_S = 30;
+/* Lifetime of a suspicion without new evidence, and of the record that a content was cleared.
+ * Callers repeat requests within seconds. */
+static const guint32 SUSPICION_LIFETIME_S = 600;
 
-/* Places of the counters in a packed number, the most important highest. */
+/* Sizes of the fields of the packed number, least significant field first.  Packed numbers are
+ * compared, so the more important fields are the more significant ones. */
 enum
 {
-  AT_BITS = 27, /* until the year 2058 */
-  AT_UNIT = 8,  /* s */
+  TIME_BITS = 27, /* until the year 2058 */
+  TIME_UNIT_S = 8,
   MARK_BITS = 8,
-  OCCASIONS_BITS = 2, /* each has an end of its own: so many make a quarantine */
+  OCCASIONS_BITS = 2, /* up to 3: each occasion has a crash of its own, and 3 crashes are enough */
   PROBATIONS_BITS = 2,
   CLEARED_BITS = 9,
 };
 
-/* Packed times count from the begin of 2024, Unix s. */
-static const guint32 AT_ZERO = 1704067200;
+/* Epoch of packed times: 2024-01-01, Unix s. */
+static const guint32 TIME_EPOCH = 1704067200;
 
-/* Not 0, which is none. */
-static const guint MARK_LEAST = 1;
-static const guint MARK_MOST = (1 << MARK_BITS) - 1;
-static const guint OCCASIONS_MOST = (1 << OCCASIONS_BITS) - 1;
+/* 0 marks an unused entry. */
+static const guint MARK_MIN = 1;
+static const guint MARK_MAX = (1 << MARK_BITS) - 1;
+static const guint OCCASIONS_MAX = (1 << OCCASIONS_BITS) - 1;
 
 static guint64
 S_append_bits (guint64 packed, guint value, guint bits)
 {
-  guint most = (1U << bits) - 1;
-  return packed << bits | MIN (value, most);
+  guint max = (1U << bits) - 1;
+  return packed << bits | MIN (value, max);
 }
 
 guint
@@ -63,8 +64,8 @@
   packed = S_append_bits (packed, evidence->occasions, OCCASIONS_BITS);
   for (guint i = 0; i < MR_EVIDENCE_MAX_MARKS; i++)
     packed = S_append_bits (packed, evidence->marks[i], MARK_BITS);
-  guint32 since_zero = evidence->at - MIN (evidence->at, AT_ZERO);
-  return S_append_bits (packed, since_zero / AT_UNIT, AT_BITS);
+  guint32 since_epoch = evidence->at - MIN (evidence->at, TIME_EPOCH);
+  return S_append_bits (packed, since_epoch / TIME_UNIT_S, TIME_BITS);
 }
 
 static guint
@@ -78,8 +79,8 @@
 MrEvidence
 mr_evidence_unpack (guint64 packed)
 {
-  guint since_zero = S_take_bits (&packed, AT_BITS);
-  MrEvidence evidence = { .at = since_zero > 0 ? AT_ZERO + since_zero * AT_UNIT : 0 };
+  guint since_epoch = S_take_bits (&packed, TIME_BITS);
+  MrEvidence evidence = { .at = since_epoch > 0 ? TIME_EPOCH + since_epoch * TIME_UNIT_S : 0 };
   for (guint i = MR_EVIDENCE_MAX_MARKS; i > 0; i--)
     evidence.marks[i - 1] = (guint8) S_take_bits (&packed, MARK_BITS);
   evidence.occasions = S_take_bits (&packed, OCCASIONS_BITS);
@@ -88,19 +89,19 @@
   return evidence;
 }
 
-/* Adds @mark to the set; the least goes out where there are too many. */
+/* Adds @mark to the set; removes the smallest if there are too many. */
 static void
 S_add_mark (MrEvidence *evidence, guint8 mark)
 {
   for (guint i = 0; i < MR_EVIDENCE_MAX_MARKS; i++)
     {
-      guint8 here = evidence->marks[i];
-      if (mark == here)
+      guint8 current = evidence->marks[i];
+      if (mark == current)
         return;
-      if (mark < here)
+      if (mark < current)
         continue;
       evidence->marks[i] = mark;
-      mark = here;
+      mark = current;
     }
 }
 
@@ -117,10 +118,10 @@
                  (json_int_t) evidence->occasions, "probations", (json_int_t) evidence->probations,
                  "cleared", (json_int_t) evidence->cleared, "at", (json_int_t) evidence->at);
   char *text = json_dumps (object, JSON_COMPACT);
-  char *own = g_strdup (text);
+  char *copy = g_strdup (text);
   free (text);
   json_decref (object);
-  return own;
+  return copy;
 }
 
 static bool
@@ -133,16 +134,16 @@
   json_array_foreach (marks, i, item)
   {
     json_int_t mark = json_integer_value (item);
-    if (mark < MARK_LEAST || mark > MARK_MOST)
+    if (mark < MARK_MIN || mark > MARK_MAX)
       return false;
     S_add_mark (out, (guint8) mark);
   }
   return true;
 }
 
-/* TRUE if @object has a whole number of 32 bits called @name. */
+/* TRUE if member @name of @object is an integer that fits in 32 bits. */
 static bool
-S_read_number (const json_t *object, const char *name, guint32 *out)
+S_read_uint32 (const json_t *object, const char *name, guint32 *out)
 {
   const json_t *item = json_object_get (object, name);
   json_int_t value = json_integer_value (item);
@@ -155,13 +156,13 @@
 {
   json_t *object = json_loadb (json.data ? json.data : "", json.len, 0, NULL);
   *out = (MrEvidence){ 0 };
-  bool whole = S_read_number (object, "occasions", &out->occasions) &&
-               S_read_number (object, "probations", &out->probations) &&
-               S_read_number (object, "cleared", &out->cleared) &&
-               S_read_number (object, "at", &out->at) &&
-               S_read_marks (json_object_get (object, "marks"), out);
+  bool complete = S_read_uint32 (object, "occasions", &out->occasions) &&
+                  S_read_uint32 (object, "probations", &out->probations) &&
+                  S_read_uint32 (object, "cleared", &out->cleared) &&
+                  S_read_uint32 (object, "at", &out->at) &&
+                  S_read_marks (json_object_get (object, "marks"), out);
   json_decref (object);
-  return whole;
+  return complete;
 }
 
 const char *
@@ -175,24 +176,26 @@
   return names[standing];
 }
 
-/* TRUE if @evidence is that old.  A clock that jumps back makes nothing old. */
+/* TRUE if @evidence is older than @max_age.  Evidence from the future, as after a clock jumped
+ * back, is never old. */
 static bool
-S_is_older (const MrEvidence *evidence, guint32 age, guint32 unix_time)
+S_is_older (const MrEvidence *evidence, guint32 max_age, guint32 unix_time)
 {
-  return unix_time > evidence->at && unix_time - evidence->at > age;
+  return unix_time > evidence->at && unix_time - evidence->at > max_age;
 }
 
 bool
 mr_evidence_is_quarantined (const MrEvidence *evidence)
 {
-  return evidence->probations > 0 || (mr_evidence_crash_count (evidence) >= ENDED_LEAST &&
-                                      evidence->occasions >= OCCASIONS_LEAST);
+  return evidence->probations > 0 ||
+         (mr_evidence_crash_count (evidence) >= QUARANTINE_MIN_CRASHES &&
+          evidence->occasions >= QUARANTINE_MIN_OCCASIONS);
 }
 
 bool
 mr_evidence_needs_exclusive_trial (const MrEvidence *evidence)
 {
-  return mr_evidence_crash_count (evidence) >= ENDED_AT_BOUND;
+  return mr_evidence_crash_count (evidence) >= EXCLUSIVE_TRIAL_CRASHES;
 }
 
 MrStanding
@@ -200,7 +203,8 @@
 {
   if (mr_evidence_is_quarantined (evidence))
     return MR_STANDING_QUARANTINED;
-  if (mr_evidence_crash_count (evidence) > 0 && !S_is_older (evidence, SUSPICION_KEPT_S, unix_time))
+  if (mr_evidence_crash_count (evidence) > 0 &&
+      !S_is_older (evidence, SUSPICION_LIFETIME_S, unix_time))
     return MR_STANDING_SUSPECT;
   return MR_STANDING_CLEAR;
 }
@@ -209,23 +213,23 @@
 mr_evidence_is_probation_due (const MrEvidence *evidence, guint32 unix_time)
 {
   return mr_evidence_is_quarantined (evidence) && evidence->probations == 0 &&
-         S_is_older (evidence, PROBATION_AFTER_S, unix_time);
+         S_is_older (evidence, PROBATION_DELAY_S, unix_time);
 }
 
 MrEvidence
-mr_evidence_add_crash (const MrEvidence *known, const MrTargetCrash *end)
+mr_evidence_add_crash (const MrEvidence *known, const MrTargetCrash *crash)
 {
-  MrEvidence sum = *known;
-  guint occasion = MIN (end->evidence_at_send.occasions + 1, OCCASIONS_MOST);
-  /* One that has started again, perhaps under its name, and ends on another occasion,
-   * counts again; two daemons that lose the same one at one time count it once. */
-  guint64 hash = XXH64 (end->target.data, end->target.len, occasion);
-  S_add_mark (&sum, (guint8) (MARK_LEAST + hash % MARK_MOST));
-  sum.occasions = MAX (known->occasions, occasion);
-  if (end->probation)
-    sum.probations = MAX (known->probations, end->evidence_at_send.probations + 1);
-  sum.at = MAX (known->at, end->unix_time);
-  return sum;
+  MrEvidence merged = *known;
+  guint occasion = MIN (crash->evidence_at_send.occasions + 1, OCCASIONS_MAX);
+  /* A target that was restarted, perhaps under the same name, and crashes on another occasion
+   * counts again.  Two daemons that see the same crash at one time count it once. */
+  guint64 hash = XXH64 (crash->target.data, crash->target.len, occasion);
+  S_add_mark (&merged, (guint8) (MARK_MIN + hash % MARK_MAX));
+  merged.occasions = MAX (known->occasions, occasion);
+  if (crash->probation)
+    merged.probations = MAX (known->probations, crash->evidence_at_send.probations + 1);
+  merged.at = MAX (known->at, crash->unix_time);
+  return merged;
 }
 
 MrEvidence
@@ -233,13 +237,13 @@
 {
   if (a->cleared != b->cleared)
     return a->cleared > b->cleared ? *a : *b;
-  MrEvidence sum = *a;
-  sum.probations = MAX (a->probations, b->probations);
-  sum.occasions = MAX (a->occasions, b->occasions);
-  sum.at = MAX (a->at, b->at);
+  MrEvidence merged = *a;
+  merged.probations = MAX (a->probations, b->probations);
+  merged.occasions = MAX (a->occasions, b->occasions);
+  merged.at = MAX (a->at, b->at);
   for (guint i = 0; i < mr_evidence_crash_count (b); i++)
-    S_add_mark (&sum, b->marks[i]);
-  return sum;
+    S_add_mark (&merged, b->marks[i]);
+  return merged;
 }
 
 MrEvidence
@@ -252,5 +256,5 @@
 mr_evidence_is_relevant (const MrEvidence *evidence, guint32 unix_time)
 {
   return mr_evidence_is_quarantined (evidence) ||
-         !S_is_older (evidence, SUSPICION_KEPT_S, unix_time);
+         !S_is_older (evidence, SUSPICION_LIFETIME_S, unix_time);
 }
--- a/src/evidence.h
+++ b/src/evidence.h
@@ -1,37 +1,37 @@
-/* Evidence against one content: targets that were gone after they had begun it.
+/* Evidence that one content crashes targets.
  *
- * A content that ends each target that begins it has to be told from one that was there
- * when targets ended for reasons of their own.  What is counted of a content are targets
- * that were gone after they had begun it, and on how many occasions; a single right
- * answer to it, from any target, makes all of it void.
+ * A content that crashes each target that runs it has to be told from one that was merely running
+ * when targets crashed for other reasons.  The evidence counts the targets that crashed after they
+ * had begun the content, and the separate occasions on which they did.  A single correct answer,
+ * from any target, voids all evidence.
  *
- *   clear        nothing is known
- *   suspect      a target has ended under it: sent to one target at a time
- *   quarantined  enough has ended, on more than one occasion: sent to no target
+ *   clear        no evidence
+ *   suspect      a target has crashed: the content is sent to one target at a time
+ *   quarantined  enough targets have crashed, on more than one occasion: it is not sent
  *
- * Evidence is a few counters that only grow and a set of ends, packed into a number so
- * that what is joined of two is never less than either: daemons that tell each other, in
- * any order, all come to the same.  It is one object a content for the spread between
- * daemons (replication.h), its number the version. */
+ * Evidence consists of counters that only grow and a set of crashes.  It is packed into a number
+ * such that merged evidence is never less than either operand, so daemons that exchange evidence in
+ * any order converge to the same value.  Between daemons it is replicated as one object for each
+ * content, with the packed number as the object's version (replication.h). */
 #pragma once
 
 #include "text.h"
 
 enum
 {
-  /* Ends that are told apart: as many as make a quarantine. */
+  /* distinct crashes that are kept: as many as a quarantine needs */
   MR_EVIDENCE_MAX_MARKS = 3,
 };
 
 typedef struct
 {
-  guint cleared;    /* times that it was answered or lifted; what was before counts no more */
-  guint probations; /* trials since it is quarantined that ended a target */
-  guint occasions;  /* on which targets ended: sends at one time are one */
-  /* Of the targets that ended: hashes of name and occasion, greatest first; 0: none.  Of more
-   * than these the greatest stand, so that the set is the same in whatever order it is joined. */
+  guint cleared;    /* times it was answered or an operator lifted it; voids older evidence */
+  guint probations; /* trials while quarantined that crashed a target */
+  guint occasions;  /* crashes of calls sent at one time are one occasion */
+  /* Hashes of name and occasion of the targets that crashed, in descending order; 0: unused.  Of
+   * more hashes the largest are kept, so that the set does not depend on the order of merging. */
   guint8 marks[MR_EVIDENCE_MAX_MARKS];
-  guint32 at; /* when the last of it was seen, Unix s */
+  guint32 at; /* time of the last change, Unix s */
 } MrEvidence;
 
 typedef enum
@@ -41,40 +41,40 @@
   MR_STANDING_QUARANTINED,
 } MrStanding;
 
-/* Targets that ended, MR_EVIDENCE_MARKS at most.  Two count as one in 1 of 85 contents that
- * ended three; one more ends then. */
+/* Targets that crashed, up to MR_EVIDENCE_MAX_MARKS.  Hash collisions count two targets as one for
+ * 1 in 85 contents that crashed three; one more target crashes then. */
 guint mr_evidence_crash_count (const MrEvidence *evidence);
 
-/* Times are kept to 8 s. */
+/* The resolution of the time is 8 s. */
 guint64 mr_evidence_pack (const MrEvidence *evidence);
 MrEvidence mr_evidence_unpack (guint64 packed);
 const char *mr_standing_name (MrStanding standing);
 
-/* As a JSON object, for the store and for operators. */
+/* As a JSON object, for the store and for operators; the caller frees it. */
 char *mr_evidence_write (const MrEvidence *evidence, guint32 unix_time);
 bool mr_evidence_read (MrText json, MrEvidence *out);
 
-/* Of @evidence at @unix_time, in s. */
+/* The standing at @unix_time, Unix s: suspicions expire. */
 MrStanding mr_evidence_standing (const MrEvidence *evidence, guint32 unix_time);
-/* The same without the time, which ends suspicions only. */
+/* Unlike a suspicion, a quarantine does not expire, so the time does not matter. */
 bool mr_evidence_is_quarantined (const MrEvidence *evidence);
-/* FALSE for a suspicion, or a memory that one was void, that is too old to matter. */
+/* FALSE for a suspicion, or a record that one was cleared, that has expired. */
 bool mr_evidence_is_relevant (const MrEvidence *evidence, guint32 unix_time);
-/* TRUE if so many targets have ended that what may still be tried is one daemon's to try. */
+/* TRUE if so many targets have crashed that only one daemon may make further trials. */
 bool mr_evidence_needs_exclusive_trial (const MrEvidence *evidence);
-/* TRUE if a quarantine may be tried once more, by the daemon whose turn that is. */
+/* TRUE if one trial of the quarantined content is due, by the daemon whose turn it is. */
 bool mr_evidence_is_probation_due (const MrEvidence *evidence, guint32 unix_time);
 
-/* A target that has ended under a content. */
+/* A target that crashed while it ran a content. */
 typedef struct
 {
   MrText target;
-  MrEvidence evidence_at_send; /* what was known when the content was sent there */
-  bool probation;              /* and why it was sent all the same */
+  MrEvidence evidence_at_send; /* evidence when the content was sent to the target */
+  bool probation;              /* the call was a probation trial */
   guint32 unix_time;
 } MrTargetCrash;
 
-MrEvidence mr_evidence_add_crash (const MrEvidence *known, const MrTargetCrash *end);
+MrEvidence mr_evidence_add_crash (const MrEvidence *known, const MrTargetCrash *crash);
 MrEvidence mr_evidence_merge (const MrEvidence *a, const MrEvidence *b);
-/* What is known after a right answer, or an operator's word. */
+/* The evidence after a correct answer, or after an operator lifted it. */
 MrEvidence mr_evidence_clear (const MrEvidence *known, guint32 unix_time);
--- a/src/fingerprint.h
+++ b/src/fingerprint.h
@@ -1,10 +1,10 @@
-/* Fingerprints of what requests ask for.
+/* Fingerprints of the contents of requests.
  *
- * Attempts of one request have ids and deadlines of their own; what they ask for is the
- * same.  A fingerprint is a keyed hash of that, so that two attempts can be told to be
- * alike, in logs, between daemons and in the store, without their content.  The key is
- * that of the deployment: the same on all its daemons and after each start.  It is no
- * cipher: who knows the key can tell whether a guess at a content is right. */
+ * The attempts of one request differ in ids and deadlines, but have the same content.  A
+ * fingerprint is a keyed hash of the content.  It identifies equal contents in logs, between
+ * daemons and in the store without revealing them.  All daemons of a deployment use the same key,
+ * which is kept across restarts.  It is not encryption: whoever knows the key can check a guessed
+ * content. */
 #pragma once
 
 #include "text.h"
@@ -20,12 +20,12 @@
   MR_FINGERPRINT_DIGITS = 32,
 };
 
-/* Of @count texts in this order; where one ends and the next begins counts. */
+/* Hashes @count texts in this order; the boundaries between them are part of the hash. */
 MrFingerprint mr_fingerprint_compute (const MrText *texts, guint count, guint64 key);
 
-/* Hexadecimal digits, ended by NUL. */
+/* Lower-case hexadecimal digits with a terminating NUL. */
 void mr_fingerprint_write (MrFingerprint fingerprint, char out[MR_FINGERPRINT_DIGITS + 1]);
-/* False on anything but what mr_fingerprint_write () writes. */
+/* False for any text that mr_fingerprint_write () does not produce. */
 bool mr_fingerprint_read (MrText text, MrFingerprint *out);
 
 static inline bool
@@ -34,11 +34,11 @@
   return a.high == b.high && a.low == b.low;
 }
 
-/* For tables whose keys are pointers to fingerprints. */
+/* GHashFunc and GEqualFunc for keys that point to fingerprints. */
 guint mr_fingerprint_key_hash (gconstpointer key);
 gboolean mr_fingerprint_key_equal (gconstpointer a, gconstpointer b);
 
-/* False for a request whose content is not known. */
+/* False if the content of the request is not known. */
 static inline bool
 mr_fingerprint_is_set (MrFingerprint fingerprint)
 {
--- a/src/prober.c
+++ b/src/prober.c
@@ -6,24 +6,24 @@
 
 enum
 {
-  /* Connections of one probe.  An ending process may accept, by itself, one more that
-   * comes as its listener closes; a target that is over its cap resets any number. */
-  CONNECTIONS_MOST = 3,
+  /* Connections of one probe.  An ending process may accept one more connection that arrives as its
+   * listener closes; a target above its connection limit resets any number. */
+  CONNECTIONS_MAX = 3,
 };
 
-/* One that stands this long after a break was accepted by a process that lives: twice the
- * longest time that an ending one was seen to listen on. */
-static const MrTime STANDS_AFTER = 10 * MR_MS;
-/* From a reset to the next connection: longer than a listener outlives the connections
- * that it has not handed out, unless the machine is busy. */
-static const MrTime AGAIN_AFTER = 2 * MR_MS;
+/* A connection after a break that stays open for this long was accepted by a live process.  Twice
+ * the longest time that an ending process was seen to keep its listener open. */
+static const MrTime STABLE_AFTER = 10 * MR_MS;
+/* Delay between a reset and the next connection: longer than a listener outlives the connections
+ * that the process has not accepted yet, except on a busy machine. */
+static const MrTime RECONNECT_DELAY = 2 * MR_MS;
 
 typedef enum
 {
   PROBE_CONNECTING,
-  PROBE_STANDING, /* connected; may still be reset */
-  PROBE_PAUSING,  /* was reset: connects again */
-  PROBE_FAILED,   /* could not even begin */
+  PROBE_CONNECTED, /* connected, but may still be reset */
+  PROBE_PAUSING,   /* was reset; waits before it connects again */
+  PROBE_FAILED,    /* the connection could not be started */
 } ProbeState;
 
 typedef struct
@@ -37,7 +37,7 @@
   gboolean after_break;
   ProbeState state;
   guint connections;
-  MrStream *stream; /* NULL while pausing, or failed */
+  MrStream *stream; /* NULL while pausing or after a failure */
   MrTimer timer;
 } Probe;
 
@@ -102,7 +102,7 @@
 }
 
 static void
-S_enter (Probe *probe, ProbeState state, MrTime until)
+S_set_state (Probe *probe, ProbeState state, MrTime until)
 {
   probe->state = state;
   mr_timers_set (probe->prober->timers, &probe->timer, until);
@@ -115,14 +115,14 @@
   probe->stream = mr_stream_connect (prober->loop, &probe->host, probe->ip, probe->port);
   if (!probe->stream)
     {
-      mr_log (MR_LOG_WARNING, MR_EVENT_CONNECT_FAILED, "target %s: %s", probe->target,
-              mr_status_message ());
-      S_enter (probe, PROBE_FAILED, now);
+      mr_log (MR_LOG_WARNING, MR_EVENT_CONNECT_FAILED, "cannot start a probe of target %s: %s",
+              probe->target, mr_status_message ());
+      S_set_state (probe, PROBE_FAILED, now);
       return;
     }
   probe->connections++;
   prober->counts.connections++;
-  S_enter (probe, PROBE_CONNECTING, now + MR_CONNECT_WAIT);
+  S_set_state (probe, PROBE_CONNECTING, now + MR_CONNECT_WAIT);
 }
 
 static void
@@ -133,10 +133,10 @@
   if (!probe->after_break)
     S_report (probe, TRUE);
   else
-    S_enter (probe, PROBE_STANDING, mr_now () + STANDS_AFTER);
+    S_set_state (probe, PROBE_CONNECTED, mr_now () + STABLE_AFTER);
 }
 
-/* Nothing was asked; but somebody is there. */
+/* Unexpected data, but it shows that the process is alive. */
 static void
 S_received (MrStreamHost *host, MrStream *stream, MrText bytes)
 {
@@ -150,8 +150,8 @@
 {
   probe->prober->counts.repeated++;
   mr_log (MR_LOG_NOTICE, MR_EVENT_PROBE_RESET,
-          "target %s took a connection and reset it: it is probed again", probe->target);
-  S_enter (probe, PROBE_PAUSING, mr_now () + AGAIN_AFTER);
+          "target %s accepted a connection and reset it; probing it again", probe->target);
+  S_set_state (probe, PROBE_PAUSING, mr_now () + RECONNECT_DELAY);
 }
 
 static void
@@ -161,7 +161,7 @@
   gboolean accepted = mr_stream_was_accepted (stream);
   (void) end;
   probe->stream = NULL;
-  if (accepted && probe->after_break && probe->connections < CONNECTIONS_MOST)
+  if (accepted && probe->after_break && probe->connections < CONNECTIONS_MAX)
     S_pause (probe);
   else
     S_report (probe, accepted);
@@ -210,7 +210,7 @@
       if (probe->state == PROBE_PAUSING)
         S_connect (probe, now);
       else
-        S_report (probe, probe->state == PROBE_STANDING);
+        S_report (probe, probe->state == PROBE_CONNECTED);
     }
   return mr_timers_next_due (prober->timers);
 }
--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -8,7 +8,7 @@
 
 struct _MrQuarantine
 {
-  GHashTable *entries; /* MrFingerprint -> Entry, which holds the key */
+  GHashTable *entries; /* MrFingerprint -> Entry, which contains the key */
 };
 
 MrQuarantine *
@@ -29,15 +29,15 @@
   g_free (q);
 }
 
-/* TRUE if @a is to be kept rather than @b: quarantines first, then the latest.  Equal for
- * no two entries, so that daemons that know the same keep the same. */
+/* TRUE if @a is kept rather than @b: quarantines first, then the most recent.  A total order, so
+ * that daemons with the same evidence keep the same entries. */
 static bool
-S_goes_before (const Entry *a, const Entry *b)
+S_has_priority (const Entry *a, const Entry *b)
 {
-  bool a_holds = mr_evidence_is_quarantined (&a->evidence);
-  bool b_holds = mr_evidence_is_quarantined (&b->evidence);
-  if (a_holds != b_holds)
-    return a_holds;
+  bool a_quarantined = mr_evidence_is_quarantined (&a->evidence);
+  bool b_quarantined = mr_evidence_is_quarantined (&b->evidence);
+  if (a_quarantined != b_quarantined)
+    return a_quarantined;
   if (a->evidence.at != b->evidence.at)
     return a->evidence.at > b->evidence.at;
   if (a->fingerprint.high != b->fingerprint.high)
@@ -46,16 +46,16 @@
 }
 
 static const Entry *
-S_least (const MrQuarantine *q)
+S_lowest_priority (const MrQuarantine *q)
 {
-  const Entry *least = NULL;
+  const Entry *lowest = NULL;
   GHashTableIter iter;
   gpointer item = NULL;
   g_hash_table_iter_init (&iter, q->entries);
   while (g_hash_table_iter_next (&iter, NULL, &item))
-    if (!least || S_goes_before (least, item))
-      least = item;
-  return least;
+    if (!lowest || S_has_priority (lowest, item))
+      lowest = item;
+  return lowest;
 }
 
 bool
@@ -63,11 +63,11 @@
                      MrFingerprint fingerprint,
                      const MrEvidence *evidence,
                      guint32 unix_time,
-                     MrFingerprint *left_out)
+                     MrFingerprint *dropped)
 {
   Entry *known = g_hash_table_lookup (q->entries, &fingerprint);
-  if (left_out)
-    *left_out = (MrFingerprint){ 0 };
+  if (dropped)
+    *dropped = (MrFingerprint){ 0 };
   if (known)
     {
       known->evidence = mr_evidence_merge (&known->evidence, evidence);
@@ -79,15 +79,15 @@
   *entry = (Entry){ .fingerprint = fingerprint, .evidence = *evidence };
   if (g_hash_table_size (q->entries) >= MR_QUARANTINE_MAX_CONTENTS)
     {
-      const Entry *least = S_least (q);
-      if (S_goes_before (least, entry))
+      const Entry *lowest = S_lowest_priority (q);
+      if (S_has_priority (lowest, entry))
         {
           g_free (entry);
           return false;
         }
-      if (left_out)
-        *left_out = least->fingerprint;
-      g_hash_table_remove (q->entries, &least->fingerprint);
+      if (dropped)
+        *dropped = lowest->fingerprint;
+      g_hash_table_remove (q->entries, &lowest->fingerprint);
     }
   g_hash_table_insert (q->entries, &entry->fingerprint, entry);
   return true;
--- a/src/quarantine.h
+++ b/src/quarantine.h
@@ -1,9 +1,9 @@
-/* Requests under which targets ended ("queries of death"): evidence (evidence.h) by
- * fingerprint, bounded.
+/* Bounded table of the evidence (evidence.h) against contents that crashed targets ("queries of
+ * death"), by fingerprint.
  *
- * Quarantine is for good, since each way to find out whether it still holds costs a
- * target, but for one trial (probation) some time after it began, by one daemon: a
- * content that was blamed for what others did is free again then.  An operator lifts it
+ * A quarantine does not expire, since every way to find out whether it is still needed puts a
+ * target at risk.  The exception is one trial by one daemon some time after it began (probation),
+ * which frees a content that was blamed for unrelated crashes.  An operator can lift a quarantine
  * sooner (docs/OPERATIONS.md). */
 #pragma once
 
@@ -15,25 +15,27 @@
 enum
 {
   MR_QUARANTINE_MAX_CONTENTS =
-      1000, /* contents known at once: 100 kB, a message of 50 kB to one that starts */
+      1000, /* 100 kB in memory; 50 kB in the message to a daemon that starts */
 };
 
 MrQuarantine *mr_quarantine_new (void);
 void mr_quarantine_free (MrQuarantine *quarantine);
 
-/* Joins @evidence to what is known if it is of use; true if it stands here then.  Where there
- * are too many the least of all goes out, @left_out (which may be NULL). */
+/* Merges @evidence into the entry of @fingerprint, or adds an entry if @evidence is relevant; true
+ * if there is an entry afterwards.  If the table is full, the least important entry, which may be
+ * the new one, is dropped.  @dropped, which may be NULL, is set to the fingerprint of another entry
+ * that was dropped. */
 bool mr_quarantine_merge (MrQuarantine *quarantine,
                           MrFingerprint fingerprint,
                           const MrEvidence *evidence,
                           guint32 unix_time,
-                          MrFingerprint *left_out);
+                          MrFingerprint *dropped);
 void mr_quarantine_remove (MrQuarantine *quarantine, MrFingerprint fingerprint);
 
-/* Nothing, with all counters 0, where nothing is known. */
+/* All fields are 0 if there is no evidence. */
 MrEvidence mr_quarantine_get (const MrQuarantine *quarantine, MrFingerprint fingerprint);
 
-/* Takes out one that is of no use any more; false if there is none. */
+/* Removes one entry that is not relevant any more; false if there is none. */
 bool mr_quarantine_remove_expired (MrQuarantine *quarantine, guint32 unix_time, MrFingerprint *out);
 
 void mr_quarantine_foreach (const MrQuarantine *quarantine,
--- a/src/recent_answers.c
+++ b/src/recent_answers.c
@@ -2,15 +2,15 @@
 
 enum
 {
-  /* 96 kB in all; a daemon answers some 140 requests a second in the largest fleet, and what
-   * many ask for takes its place again with each answer. */
-  ROWS = 1024,
-  PLACES = 4, /* of a row; two contents that fall on one row don't push each other out */
+  /* 96 kB in total.  A daemon answers some 140 requests a second in the largest fleet, and each
+   * answer renews the entry of its content. */
+  ROW_COUNT = 1024,
+  ROW_ENTRIES = 4, /* per row, so that two contents in one row don't evict each other */
 };
 
-/* Longer than targets take to end together, shorter than a release of targets that end by
- * what they answered before takes to go round. */
-static const MrTime LATELY = 10 * MR_SECOND;
+/* Longer than a group of targets takes to crash, shorter than the rollout of a release that crashes
+ * on contents which the previous one answered. */
+static const MrTime RECENT_SPAN = 10 * MR_SECOND;
 
 typedef struct
 {
@@ -20,7 +20,7 @@
 
 struct _MrRecentAnswers
 {
-  Entry rows[ROWS][PLACES];
+  Entry rows[ROW_COUNT][ROW_ENTRIES];
 };
 
 MrRecentAnswers *
@@ -30,41 +30,41 @@
 }
 
 void
-mr_recent_answers_free (MrRecentAnswers *answered)
+mr_recent_answers_free (MrRecentAnswers *answers)
 {
-  g_free (answered);
+  g_free (answers);
 }
 
 static guint
 S_row (MrFingerprint fingerprint)
 {
-  return (guint) ((fingerprint.high ^ fingerprint.low) % ROWS);
+  return (guint) ((fingerprint.high ^ fingerprint.low) % ROW_COUNT);
 }
 
 void
-mr_recent_answers_record (MrRecentAnswers *answered, MrTime now, MrFingerprint fingerprint)
+mr_recent_answers_record (MrRecentAnswers *answers, MrTime now, MrFingerprint fingerprint)
 {
-  Entry *row = answered->rows[S_row (fingerprint)];
-  Entry *place = &row[0];
-  for (guint i = 0; i < PLACES; i++)
+  Entry *row = answers->rows[S_row (fingerprint)];
+  Entry *oldest = &row[0];
+  for (guint i = 0; i < ROW_ENTRIES; i++)
     {
       if (mr_fingerprint_equal (row[i].fingerprint, fingerprint))
         {
           row[i].at = now;
           return;
         }
-      if (row[i].at < place->at)
-        place = &row[i];
+      if (row[i].at < oldest->at)
+        oldest = &row[i];
     }
-  *place = (Entry){ .fingerprint = fingerprint, .at = now };
+  *oldest = (Entry){ .fingerprint = fingerprint, .at = now };
 }
 
 bool
-mr_recent_answers_contain (const MrRecentAnswers *answered, MrTime now, MrFingerprint fingerprint)
+mr_recent_answers_contain (const MrRecentAnswers *answers, MrTime now, MrFingerprint fingerprint)
 {
-  const Entry *row = answered->rows[S_row (fingerprint)];
-  for (guint i = 0; i < PLACES; i++)
+  const Entry *row = answers->rows[S_row (fingerprint)];
+  for (guint i = 0; i < ROW_ENTRIES; i++)
     if (mr_fingerprint_equal (row[i].fingerprint, fingerprint))
-      return now - row[i].at <= LATELY;
+      return now - row[i].at <= RECENT_SPAN;
   return false;
 }
--- a/src/recent_answers.h
+++ b/src/recent_answers.h
@@ -1,9 +1,9 @@
-/* Contents that were answered lately, as far as a table of fixed size holds them.
+/* Fixed-size cache of the contents that were answered recently.
  *
- * An answer says more than any number of ends: what was answered well a moment ago does not
- * end its targets.  A search that many ask for was on all targets when these ended within
- * 34 ms (of another request, or with their racks), no target was left to answer it, and it
- * was blocked for half a minute: 2,700 searches of a small site (test_quarantine). */
+ * An answer outweighs any number of crashes: a content that was answered a moment ago does not
+ * crash its targets.  Without this a popular search was quarantined for half a minute (2,700
+ * searches of a small site, test_quarantine): all targets crashed within 34 ms, because of another
+ * request or with their racks, each with a call of it, and no target was left to answer it. */
 #pragma once
 
 #include "clock.h"
@@ -12,9 +12,9 @@
 typedef struct _MrRecentAnswers MrRecentAnswers;
 
 MrRecentAnswers *mr_recent_answers_new (void);
-void mr_recent_answers_free (MrRecentAnswers *answered);
+void mr_recent_answers_free (MrRecentAnswers *answers);
 
-void mr_recent_answers_record (MrRecentAnswers *answered, MrTime now, MrFingerprint fingerprint);
-/* FALSE also for one that was answered and that another has taken the place of. */
+void mr_recent_answers_record (MrRecentAnswers *answers, MrTime now, MrFingerprint fingerprint);
+/* FALSE also for a content whose entry was evicted. */
 bool
-mr_recent_answers_contain (const MrRecentAnswers *answered, MrTime now, MrFingerprint fingerprint);
+mr_recent_answers_contain (const MrRecentAnswers *answers, MrTime now, MrFingerprint fingerprint);
--- a/src/safeguard.c
+++ b/src/safeguard.c
@@ -5,7 +5,7 @@
 
 unsigned mr_guards_off;
 
-/* Process tests switch safeguards off by number, as a mask in hex. */
+/* Process tests set a hexadecimal mask of the safeguards to switch off. */
 __attribute__ ((constructor)) static void
 S_read_environment (void)
 {
@@ -15,5 +15,5 @@
 }
 #endif
 
-/* Keeps the unit non-empty in normal builds. */
+/* A translation unit must not be empty in normal builds. */
 typedef int MrSafeguardUnit;
