--- a/src/relay_daemon.c
+++ b/src/relay_daemon.c
@@ -25,7 +25,7 @@
 }
 
 static MrStatus
-S_make_tasks (Daemon *d, const MrDialect *dialect, const MrPlatformCodec *codec)
+S_create_tasks (Daemon *d, const MrDialect *dialect, const MrPlatformCodec *codec)
 {
   const MrSettings *base = &d->settings->base;
   MrControlTaskInfo control = {
@@ -84,7 +84,7 @@
   mr_log_set_level ((MrLogLevel) base->log_level);
   MrStatus status = mr_process_init (&d.process);
   if (status == MR_OK)
-    status = S_make_tasks (&d, dialect, codec);
+    status = S_create_tasks (&d, dialect, codec);
   if (status == MR_OK)
     {
       S_connect (&d);
--- a/src/relay_log.c
+++ b/src/relay_log.c
@@ -4,35 +4,35 @@
 
 enum
 {
-  NOTES_LOGGED = 24, /* calls in one line */
+  CALLS_LOGGED_MAX = 24,
 };
 
 static void
-S_append_note (GString *out, const MrSendRecord *note)
+S_append_call (GString *out, const MrSendRecord *send)
 {
   g_string_append_printf (
       out,
       "%s{\"part\":%u,\"target\":\"%s\",\"why\":\"%s\",\"at_us\":%" G_GINT64_FORMAT
       ",\"heard_us\":%" G_GINT64_FORMAT ",\"end\":\"%s\",\"took_us\":%" G_GINT64_FORMAT "}",
-      out->len > 1 ? "," : "", note->part_index, note->target, mr_send_reason_name (note->reason),
-      note->sent_after, note->last_response_age,
-      note->finished ? mr_call_outcome_name (note->outcome) : "open", note->duration);
+      out->len > 1 ? "," : "", send->part_index, send->target, mr_send_reason_name (send->reason),
+      send->sent_after, send->last_response_age,
+      send->finished ? mr_call_outcome_name (send->outcome) : "open", send->duration);
 }
 
-/* Calls that explain the outcome: hedges, retries, and calls without an answer. */
+/* Lists the calls that explain the result: hedges, retries, and calls without an answer. */
 static GString *
-S_notes (const GArray *sends)
+S_format_calls (const GArray *sends)
 {
   GString *out = g_string_new ("[");
   guint listed = 0;
-  for (guint i = 0; i < sends->len && listed < NOTES_LOGGED; i++)
+  for (guint i = 0; i < sends->len && listed < CALLS_LOGGED_MAX; i++)
     {
-      const MrSendRecord *note = &g_array_index (sends, MrSendRecord, i);
-      gboolean plain = note->finished && note->outcome == MR_CALL_ANSWER &&
-                       note->reason == MR_SEND_FIRST && sends->len > 1;
+      const MrSendRecord *send = &g_array_index (sends, MrSendRecord, i);
+      gboolean plain = send->finished && send->outcome == MR_CALL_ANSWER &&
+                       send->reason == MR_SEND_FIRST && sends->len > 1;
       if (plain)
         continue;
-      S_append_note (out, note);
+      S_append_call (out, send);
       listed++;
     }
   return g_string_append_c (out, ']');
@@ -46,7 +46,7 @@
 }
 
 void
-mr_relay_log_result (MrRelayTask *task, const MrRequestLogInfo *about, const MrRelayResult *result)
+mr_relay_log_result (MrRelayTask *task, const MrRequestLogInfo *info, const MrRelayResult *result)
 {
   static const MrEvent events[] = {
     [MR_VERDICT_ANSWER] = MR_EVENT_REQUEST_SERVED,   [MR_VERDICT_MERGE] = MR_EVENT_REQUEST_SERVED,
@@ -61,19 +61,19 @@
   MrLogLine *line = mr_log_begin (served ? MR_LOG_INFO : MR_LOG_NOTICE, event);
   if (!line)
     return;
-  g_autoptr (GString) notes = S_notes (result->sends);
+  g_autoptr (GString) calls = S_format_calls (result->sends);
   char content[MR_FINGERPRINT_DIGITS + 1];
-  mr_fingerprint_write (about->fingerprint, content);
-  mr_log_text (line, "request", mr_text (about->id));
+  mr_fingerprint_write (info->fingerprint, content);
+  mr_log_text (line, "request", mr_text (info->id));
   mr_log_text (line, "content", mr_text (content));
-  mr_log_text (line, "route", mr_text (about->route->name));
-  mr_log_number (line, "version", (gint64) about->version);
+  mr_log_text (line, "route", mr_text (info->route->name));
+  mr_log_number (line, "version", (gint64) info->version);
   mr_log_text (line, "verdict", mr_text (mr_verdict_name (result->verdict)));
   mr_log_text (line, "cause", mr_text (mr_cause_name (result->cause)));
-  mr_log_number (line, "status", about->status);
-  mr_log_number (line, "took_us", about->took);
-  mr_log_number (line, "aim_us", about->route->latency_goal);
-  mr_log_number (line, "left_us", about->time_left);
+  mr_log_number (line, "status", info->status);
+  mr_log_number (line, "took_us", info->took);
+  mr_log_number (line, "aim_us", info->route->latency_goal);
+  mr_log_number (line, "left_us", info->time_left);
   mr_log_number (line, "parts", result->part_count);
   mr_log_number (line, "missing", result->missing_parts);
   mr_log_number (line, "sends", result->sends->len);
@@ -82,6 +82,6 @@
       mr_log_number (line, "expected_wait_us", result->expected_wait);
       mr_log_number (line, "retry_after_us", result->retry_after);
     }
-  mr_log_json (line, "calls", mr_text_of (notes));
+  mr_log_json (line, "calls", mr_text_of (calls));
   mr_log_end (line);
 }
--- a/src/relay_pages.c
+++ b/src/relay_pages.c
@@ -20,13 +20,14 @@
 {
   const MrRelayTask *task = ((PageHost *) host)->task;
   (void) began;
-  gboolean known = task->dialect->is_ready_question (mr_http_parser_target (in));
+  gboolean recognized = task->dialect->is_ready_question (mr_http_parser_target (in));
   gboolean ready = mr_relay_task_ready (task) && task->stop_began == 0;
-  int status = !known ? STATUS_NOT_FOUND : ready ? STATUS_OK : STATUS_UNAVAILABLE;
+  int status = !recognized ? STATUS_NOT_FOUND : ready ? STATUS_OK : STATUS_UNAVAILABLE;
   mr_caller_answer (caller, status, (MrText){ 0 }, (MrText){ 0 });
 }
 
-/* A host whose routes have home regions is served by daemons there, or in the caller's. */
+/* A host whose routes have home regions is served by daemons in these regions or in the
+ * caller's. */
 static GPtrArray *
 S_entries_for (const MrRelayTask *task, const MrAddressQuestion *question)
 {
@@ -44,7 +45,10 @@
 }
 
 static void
-S_on_question (MrCallerServerHost *host, MrCaller *caller, const MrHttpParser *in, MrTime began)
+S_on_address_query (MrCallerServerHost *host,
+                    MrCaller *caller,
+                    const MrHttpParser *in,
+                    MrTime began)
 {
   MrRelayTask *task = ((PageHost *) host)->task;
   MrAddressQuestion question = { 0 };
@@ -67,21 +71,21 @@
       return;
     }
   const MrRelaySettings *settings = task->settings;
-  MrTime keep = mr_entry_keep ((guint) settings->tolerated_domain_losses,
-                               settings->address_ttl_max_ms * MR_MS);
-  g_autoptr (GString) body = task->dialect->write_addresses (addresses, keep);
+  MrTime ttl = mr_entry_keep ((guint) settings->tolerated_domain_losses,
+                              settings->address_ttl_max_ms * MR_MS);
+  g_autoptr (GString) body = task->dialect->write_addresses (addresses, ttl);
   mr_caller_answer (caller, STATUS_OK, mr_text (json_type), mr_text_of (body));
 }
 
 static void
-S_append (GString *out, const char *name, const char *kind, guint64 value)
+S_append_metric (GString *out, const char *name, const char *kind, guint64 value)
 {
   g_string_append_printf (out, "# TYPE merlinring_%s %s\nmerlinring_%s %" G_GUINT64_FORMAT "\n",
                           name, kind, name, value);
 }
 
 static void
-S_append_relay (GString *out, const MrRelayTask *task)
+S_append_relay_metrics (GString *out, const MrRelayTask *task)
 {
   const MrRelayCounts *counts = mr_relay_counts (task->relay);
   MrTargetClientCounts client = mr_target_client_counts (task->client);
@@ -115,15 +119,16 @@
     { "relay_probes_repeated_total", client.repeated },
   };
   for (gsize i = 0; i < G_N_ELEMENTS (counters); i++)
-    S_append (out, counters[i].name, "counter", counters[i].value);
-  S_append (out, "relay_open_requests", "gauge", mr_relay_request_count (task->relay));
-  S_append (out, "relay_usable_targets", "gauge", mr_relay_usable_target_count (task->relay));
-  S_append (out, "relay_finish_reserve_us", "gauge",
-            (guint64) mr_relay_response_overhead (task->relay));
-  S_append (out, "evacuated_domains", "gauge",
-            task->view ? g_hash_table_size (task->view->evacuated_domains) : 0);
-  S_append (out, "relay_caller_connections", "gauge",
-            mr_caller_server_connections (task->caller_server));
+    S_append_metric (out, counters[i].name, "counter", counters[i].value);
+  S_append_metric (out, "relay_open_requests", "gauge", mr_relay_request_count (task->relay));
+  S_append_metric (out, "relay_usable_targets", "gauge",
+                   mr_relay_usable_target_count (task->relay));
+  S_append_metric (out, "relay_finish_reserve_us", "gauge",
+                   (guint64) mr_relay_response_overhead (task->relay));
+  S_append_metric (out, "evacuated_domains", "gauge",
+                   task->view ? g_hash_table_size (task->view->evacuated_domains) : 0);
+  S_append_metric (out, "relay_caller_connections", "gauge",
+                   mr_caller_server_connections (task->caller_server));
   for (guint i = 1; i < G_N_ELEMENTS (task->status_class_counts); i++)
     g_string_append_printf (
         out, "merlinring_relay_answers_total{status=\"%uxx\"} %" G_GUINT64_FORMAT "\n", i,
@@ -131,12 +136,12 @@
   mr_metrics_write_histogram (out, "relay_latency", "result=\"success\"", &task->success_latency);
 }
 
-/* Contents that have ended targets. */
+/* Contents that crashed targets. */
 
 static const char quarantine_path[] = "/v1/quarantine";
 
 static void
-S_add_content (MrFingerprint fingerprint, const MrEvidence *evidence, void *user)
+S_append_content (MrFingerprint fingerprint, const MrEvidence *evidence, void *user)
 {
   GString *list = user;
   char content[MR_FINGERPRINT_DIGITS + 1];
@@ -150,7 +155,7 @@
 S_answer_list (const MrRelayTask *task, MrCaller *caller)
 {
   g_autoptr (GString) list = g_string_new ("{\"contents\":[");
-  mr_relay_foreach_suspect_content (task->relay, S_add_content, list);
+  mr_relay_foreach_suspect_content (task->relay, S_append_content, list);
   g_string_append (list, "]}\n");
   mr_caller_answer (caller, STATUS_OK, mr_text (json_type), mr_text_of (list));
 }
@@ -165,7 +170,7 @@
   else if (mr_relay_lift_quarantine (task->relay, mr_now (), fingerprint))
     status = STATUS_OK;
   if (status == STATUS_OK)
-    mr_log (MR_LOG_NOTICE, MR_EVENT_LIFTED, "content %.*s: lifted by an operator",
+    mr_log (MR_LOG_NOTICE, MR_EVENT_LIFTED, "content %.*s: quarantine lifted by an operator",
             (int) content.len, content.data);
   MrText body = status == STATUS_OK ? MR_TEXT ("{\"lifted\":true}\n")
                 : status == STATUS_NOT_FOUND
@@ -174,7 +179,7 @@
   mr_caller_answer (caller, status, mr_text (json_type), body);
 }
 
-/* GET lists them, DELETE with a fingerprint behind the path lifts one. */
+/* GET lists the contents; DELETE with a fingerprint after the path lifts the quarantine of one. */
 static void
 S_answer_quarantine (const MrRelayTask *task, MrCaller *caller, const MrHttpParser *in)
 {
@@ -198,16 +203,16 @@
 }
 
 static void
-S_append_standings (GString *out, const MrRelayTask *task)
+S_append_standing_metrics (GString *out, const MrRelayTask *task)
 {
   guint counts[MR_STANDING_QUARANTINED + 1] = { 0 };
   mr_relay_foreach_suspect_content (task->relay, S_count_standing, counts);
-  S_append (out, "relay_suspect_contents", "gauge", counts[MR_STANDING_SUSPECT]);
-  S_append (out, "relay_quarantined_contents", "gauge", counts[MR_STANDING_QUARANTINED]);
+  S_append_metric (out, "relay_suspect_contents", "gauge", counts[MR_STANDING_SUSPECT]);
+  S_append_metric (out, "relay_quarantined_contents", "gauge", counts[MR_STANDING_QUARANTINED]);
 }
 
 static gboolean
-S_is_quarantine (MrText target)
+S_is_quarantine_path (MrText target)
 {
   gsize len = strlen (quarantine_path);
   return target.len >= len && memcmp (target.data, quarantine_path, len) == 0;
@@ -218,7 +223,7 @@
 {
   const MrRelayTask *task = ((PageHost *) host)->task;
   (void) began;
-  if (S_is_quarantine (mr_http_parser_target (in)))
+  if (S_is_quarantine_path (mr_http_parser_target (in)))
     {
       S_answer_quarantine (task, caller, in);
       return;
@@ -226,8 +231,8 @@
   g_autoptr (GString) body = g_string_new (NULL);
   mr_metrics_write (body);
   mr_traffic_write_metrics (body);
-  S_append_relay (body, task);
-  S_append_standings (body, task);
+  S_append_relay_metrics (body, task);
+  S_append_standing_metrics (body, task);
   mr_caller_answer (caller, STATUS_OK, mr_text (text_type), mr_text_of (body));
 }
 
@@ -235,13 +240,13 @@
 S_on_gone (MrCallerServerHost *host, MrCaller *caller)
 {
   (void) host;
-  (void) caller; /* answered at once, so nothing is kept for it */
+  (void) caller; /* every request is answered at once, so there is no state to free */
 }
 
 void
 mr_relay_pages_init (MrRelayTask *task)
 {
   task->ready_pages = (PageHost){ { S_on_ready, S_on_gone }, task };
-  task->directory_pages = (PageHost){ { S_on_question, S_on_gone }, task };
+  task->directory_pages = (PageHost){ { S_on_address_query, S_on_gone }, task };
   task->metrics_pages = (PageHost){ { S_on_metrics, S_on_gone }, task };
 }
--- a/src/relay_request.c
+++ b/src/relay_request.c
@@ -8,25 +8,25 @@
 {
   STATUS_OK = 200,
   STATUS_NOT_FOUND = 404,
-  /* Of a quarantined request.  503 and 429 ask the caller to come again, 4xx tell it
-   * that it may not ask; 502 and 504 are what becomes of attempts. */
+  /* For a quarantined request.  503 and 429 invite the caller to retry, 4xx blames the caller, and
+   * 502 and 504 are for failed attempts. */
   STATUS_QUARANTINED = 500,
   STATUS_BAD_GATEWAY = 502,
   STATUS_UNAVAILABLE = 503,
   STATUS_GATEWAY_TIMEOUT = 504,
 };
 
-/* For how long one daemon has the turn to try a content; many times the difference
- * between their clocks. */
-static const MrTime PROBE_TURN = 8 * MR_SECOND;
-/* A daemon that has just started knows its configuration within this. */
-static const MrTime RETRY_NOT_READY = 300 * MR_MS;
+/* How long it is one daemon's turn to try a content: many times the difference between the daemons'
+ * clocks. */
+static const MrTime TRIAL_TURN = 8 * MR_SECOND;
+/* A daemon that has just started has its configuration within this time. */
+static const MrTime NOT_READY_RETRY_AFTER = 300 * MR_MS;
 
 typedef struct
 {
   MrRelayTask *task;
-  MrCaller *caller; /* NULL once it has gone */
-  MrActiveRequest *work;
+  MrCaller *caller; /* NULL after the caller disconnected */
+  MrActiveRequest *active;
   MrConfiguration *configuration;
   const MrRoute *route;
   MrTime began;
@@ -34,7 +34,7 @@
   char *id;
   MrFingerprint fingerprint;
   gboolean bodiless;
-  GString *head; /* request line and fields that are passed on */
+  GString *head; /* request line and header fields to forward */
   GString *body;
 } Request;
 
@@ -48,10 +48,10 @@
   g_free (request);
 }
 
-/* The request as it is passed on. */
+/* Forwarded requests. */
 
 static gboolean
-S_is_ours_to_set (const MrDialect *dialect, MrText name)
+S_is_set_by_relay (const MrDialect *dialect, MrText name)
 {
   return mr_text_equal_fold (name, dialect->remaining_ms) ||
          mr_text_equal_fold (name, dialect->expected_id);
@@ -77,13 +77,13 @@
   for (guint i = 0; i < mr_http_parser_field_count (in); i++)
     {
       MrHttpField field = mr_http_parser_field (in, i);
-      if (!mr_http_parser_is_hop_field (in, field.name) && !S_is_ours_to_set (dialect, field.name))
+      if (!mr_http_parser_is_hop_field (in, field.name) && !S_is_set_by_relay (dialect, field.name))
         S_append_field (out, field);
     }
   return out;
 }
 
-/* How long the caller will wait; without its word, as long as the route. */
+/* The caller's deadline; the route's time limit if the caller sent none. */
 static MrTime
 S_deadline (const MrDialect *dialect, const MrHttpParser *in, const MrRoute *route, MrTime began)
 {
@@ -94,7 +94,7 @@
   return began + route->time_limit;
 }
 
-/* What the request asks for, whoever asks, under whatever id and deadline. */
+/* Covers what the request asks for, without the caller's id and deadline. */
 static MrFingerprint
 S_fingerprint (const MrRelayTask *task, const MrHttpParser *in)
 {
@@ -111,18 +111,17 @@
 }
 
 static void
-S_on_call (MrRelayHost *host, const MrRelayCall *call)
+S_on_send_call (MrRelayHost *host, const MrRelayCall *call)
 {
   MrRelayTask *task = RELAY_TASK_OF (host, relay_host);
   const Request *request = call->host_request;
   MrTime now = mr_now ();
-  /* Never more than what is left, rounded down: a target that is told too much
-   * works on for a caller who has gone. */
-  gint64 left = MAX ((call->deadline - now) / MR_MS, 1);
+  /* Rounded down: a target that is told too much time keeps working after the caller has gone. */
+  gint64 ms_left = MAX ((call->deadline - now) / MR_MS, 1);
   GString *bytes = g_string_sized_new (request->head->len + request->body->len + 128);
   g_string_append_len (bytes, request->head->str, (gssize) request->head->len);
   g_string_append_printf (bytes, "%s: %" G_GINT64_FORMAT "\r\n%s: %s\r\n",
-                          task->dialect->remaining_ms, left, task->dialect->expected_id,
+                          task->dialect->remaining_ms, ms_left, task->dialect->expected_id,
                           call->target->id);
   if (request->body->len > 0 || !call->idempotent)
     g_string_append_printf (bytes, "Content-Length: %zu\r\n", request->body->len);
@@ -142,13 +141,13 @@
 }
 
 static void
-S_on_drop (MrRelayHost *host, guint64 id)
+S_on_close_call (MrRelayHost *host, guint64 id)
 {
   mr_target_client_drop (RELAY_TASK_OF (host, relay_host)->client, id);
 }
 
 static gboolean
-S_on_take_back (MrRelayHost *host, guint64 id)
+S_on_withdraw_call (MrRelayHost *host, guint64 id)
 {
   return mr_target_client_take_back (RELAY_TASK_OF (host, relay_host)->client, id);
 }
@@ -160,7 +159,7 @@
 }
 
 static void
-S_on_renew (MrRelayHost *host, const MrTargetState *target)
+S_on_reconnect (MrRelayHost *host, const MrTargetState *target)
 {
   MrTargetClient *client = RELAY_TASK_OF (host, relay_host)->client;
   if (target->health.state == MR_HEALTH_LEAVING)
@@ -170,20 +169,20 @@
 }
 
 static void
-S_on_evidence (MrRelayHost *host, MrFingerprint fingerprint, const MrEvidence *evidence)
+S_on_publish_evidence (MrRelayHost *host, MrFingerprint fingerprint, const MrEvidence *evidence)
 {
   mr_mailbox_post (RELAY_TASK_OF (host, relay_host)->control,
                    &mr_evidence_message_new (fingerprint, evidence)->base);
 }
 
-/* One of the daemons that callers are told of, the same for all that see the same: two
- * that try a content at one time would cost a target more.  They take turns, since the
- * caller of a content may not reach every daemon. */
+/* TRUE if it is this daemon's turn to try the content.  Daemons with the same view agree on one of
+ * the entry daemons: two simultaneous trials would cost one more target.  The turn rotates, since
+ * the caller of a content may not reach every daemon. */
 static gboolean
-S_may_probe (MrRelayHost *host, MrFingerprint fingerprint)
+S_may_try_content (MrRelayHost *host, MrFingerprint fingerprint)
 {
   const MrRelayTask *task = RELAY_TASK_OF (host, relay_host);
-  guint64 turn = (guint64) (g_get_real_time () / PROBE_TURN);
+  guint64 turn = (guint64) (g_get_real_time () / TRIAL_TURN);
   const char *best = "";
   guint64 best_score = 0;
   for (guint i = 0; task->entry_plan.entries && i < task->entry_plan.entries->len; i++)
@@ -228,17 +227,19 @@
 }
 
 static void
-S_answer_error (MrRelayTask *task, MrCaller *caller, int status, const char *reason, MrTime after)
+S_answer_error (
+    MrRelayTask *task, MrCaller *caller, int status, const char *reason, MrTime retry_after)
 {
   g_autoptr (GString) fields = g_string_new ("Content-Type: application/json\r\n");
   g_autofree char *body = g_strdup_printf ("{\"error\":\"%s\"}\n", reason);
-  if (after > 0)
-    g_string_append_printf (fields, "Retry-After: %.3f\r\n", (double) after / (double) MR_SECOND);
+  if (retry_after > 0)
+    g_string_append_printf (fields, "Retry-After: %.3f\r\n",
+                            (double) retry_after / (double) MR_SECOND);
   S_answer (task, caller, status, mr_text_of (fields), mr_text (body));
 }
 
 static void
-S_pass_on (const Request *request, const MrHttpParser *answer)
+S_forward_answer (const Request *request, const MrHttpParser *answer)
 {
   g_autoptr (GString) fields = g_string_new (NULL);
   for (guint i = 0; i < mr_http_parser_field_count (answer); i++)
@@ -294,17 +295,17 @@
 }
 
 static void
-S_on_done (MrRelayHost *host, gpointer user, const MrRelayResult *result)
+S_on_request_done (MrRelayHost *host, gpointer user, const MrRelayResult *result)
 {
   MrRelayTask *task = RELAY_TASK_OF (host, relay_host);
   Request *request = user;
   int status = S_status (result);
   MrTime now = mr_now ();
-  request->work = NULL;
+  request->active = NULL;
   switch (result->verdict)
     {
     case MR_VERDICT_ANSWER:
-      S_pass_on (request, result->answers[0]);
+      S_forward_answer (request, result->answers[0]);
       break;
     case MR_VERDICT_MERGE:
       S_answer_merged (request, result);
@@ -333,7 +334,7 @@
   S_request_free (request);
 }
 
-/* Arrivals. */
+/* Incoming requests. */
 
 static void
 S_refuse (
@@ -349,7 +350,8 @@
   mr_log_number (line, "status", status);
   mr_log_text (line, "cause", mr_text (reason));
   mr_log_end (line);
-  S_answer_error (task, caller, status, reason, status == STATUS_UNAVAILABLE ? RETRY_NOT_READY : 0);
+  S_answer_error (task, caller, status, reason,
+                  status == STATUS_UNAVAILABLE ? NOT_READY_RETRY_AFTER : 0);
 }
 
 static void
@@ -358,10 +360,11 @@
   S_refuse (task, caller, in, STATUS_UNAVAILABLE, "not-ready");
 }
 
-/* @arrived: from which the route's times count; 0: now, so that a caller who was slow
- * to send has them all the same. */
+/* The route's time limits count from @arrived; 0: from now, so that a caller that was slow to send
+ * its request gets all of the time. */
 static void
-S_begin (MrRelayTask *task, MrCaller *caller, const MrHttpParser *in, MrTime began, MrTime arrived)
+S_begin_request (
+    MrRelayTask *task, MrCaller *caller, const MrHttpParser *in, MrTime began, MrTime arrived)
 {
   MrConfiguration *configuration = task->view->configuration;
   const MrRoute *route = mr_configuration_find_route (
@@ -387,7 +390,7 @@
     .body = g_string_new_len (body.data, (gssize) body.len),
   };
   mr_caller_set_user (caller, request);
-  MrRelayRequestParams submitted = {
+  MrRelayRequestParams params = {
     .host_request = request,
     .configuration = configuration,
     .route = route,
@@ -396,9 +399,9 @@
     .round_trip = mr_caller_round_trip (caller),
     .fingerprint = request->fingerprint,
   };
-  MrActiveRequest *work = mr_relay_submit (task->relay, mr_now (), &submitted);
-  if (work)
-    request->work = work;
+  MrActiveRequest *active = mr_relay_submit (task->relay, mr_now (), &params);
+  if (active)
+    request->active = active;
 }
 
 static void
@@ -406,13 +409,13 @@
 {
   MrRelayTask *task = RELAY_TASK_OF (host, caller_host);
   MrTime now = mr_now ();
-  MrQueuedRequest early = {
+  MrQueuedRequest queued = {
     .caller = caller, .request = in, .first_byte_at = began, .received_at = now
   };
-  /* Without a configuration nobody can tell an unknown route from a known one. */
+  /* Without a configuration an unknown route can't be told from a known one. */
   if (mr_relay_task_ready (task))
-    S_begin (task, caller, in, began, 0);
-  else if (mr_startup_queue_push (task->early_requests, now, &early))
+    S_begin_request (task, caller, in, began, 0);
+  else if (mr_startup_queue_push (task->early_requests, now, &queued))
     task->early_request_count++;
   else
     S_refuse_not_ready (task, caller, in);
@@ -423,7 +426,7 @@
 {
   gboolean ready = mr_relay_task_ready (task);
   guint count = mr_startup_queue_length (task->early_requests);
-  MrQueuedRequest early;
+  MrQueuedRequest queued;
   if (count == 0)
     return;
   if (!ready && now < mr_startup_queue_deadline (task->early_requests))
@@ -431,21 +434,23 @@
       *next = MIN (*next, mr_startup_queue_deadline (task->early_requests));
       return;
     }
-  mr_log (MR_LOG_NOTICE, MR_EVENT_EARLY_REQUESTS, "%u requests that came before this was ready: %s",
-          count, ready ? "begun" : "refused, neither the store nor a peer has answered");
-  while (mr_startup_queue_pop (task->early_requests, &early))
+  mr_log (MR_LOG_NOTICE, MR_EVENT_EARLY_REQUESTS,
+          "%u requests that arrived before this daemon was ready were %s", count,
+          ready ? "started" : "refused: neither the store nor a peer has answered");
+  while (mr_startup_queue_pop (task->early_requests, &queued))
     if (ready)
-      S_begin (task, early.caller, early.request, early.first_byte_at, early.received_at);
+      S_begin_request (task, queued.caller, queued.request, queued.first_byte_at,
+                       queued.received_at);
     else
-      S_refuse_not_ready (task, early.caller, early.request);
+      S_refuse_not_ready (task, queued.caller, queued.request);
 }
 
 static void
-S_on_gone (MrCallerServerHost *host, MrCaller *caller)
+S_on_caller_gone (MrCallerServerHost *host, MrCaller *caller)
 {
   MrRelayTask *task = RELAY_TASK_OF (host, caller_host);
   Request *request = mr_caller_user (caller);
-  if (mr_startup_queue_remove (task->early_requests, caller) || !request || !request->work)
+  if (mr_startup_queue_remove (task->early_requests, caller) || !request || !request->active)
     return;
   MrTime now = mr_now ();
   MrLogLine *line = mr_log_begin (MR_LOG_INFO, MR_EVENT_CALLER_GONE);
@@ -453,24 +458,24 @@
   mr_log_text (line, "route", mr_text (request->route->name));
   mr_log_number (line, "after_us", now - request->began);
   mr_log_end (line);
-  mr_relay_abandon_request (task->relay, now, request->work);
+  mr_relay_abandon_request (task->relay, now, request->active);
   S_request_free (request);
 }
 
 void
 mr_relay_request_init (MrRelayTask *task)
 {
-  task->caller_host = (MrCallerServerHost){ .request = S_on_request, .gone = S_on_gone };
+  task->caller_host = (MrCallerServerHost){ .request = S_on_request, .gone = S_on_caller_gone };
   task->client_host = (MrTargetClientHost){ .ended = S_on_call_ended, .probed = S_on_probed };
   task->relay_host = (MrRelayHost){
-    .send_call = S_on_call,
-    .close_call = S_on_drop,
-    .withdraw_call = S_on_take_back,
+    .send_call = S_on_send_call,
+    .close_call = S_on_close_call,
+    .withdraw_call = S_on_withdraw_call,
     .probe = S_on_probe,
-    .reconnect = S_on_renew,
-    .request_done = S_on_done,
+    .reconnect = S_on_reconnect,
+    .request_done = S_on_request_done,
     .free_answer = S_free_answer,
-    .publish_evidence = S_on_evidence,
-    .may_try_content = S_may_probe,
+    .publish_evidence = S_on_publish_evidence,
+    .may_try_content = S_may_try_content,
   };
 }
--- a/src/relay_settings.h
+++ b/src/relay_settings.h
@@ -1,22 +1,22 @@
-/* Settings of a relay beside those that every daemon has. */
+/* Settings of a relay in addition to those of every daemon. */
 #pragma once
 
 #include "settings.h"
 
 typedef struct
 {
-  MrSettings base;             /* http_port takes callers' requests */
-  int ready_port;              /* whoever watches over the VMs asks here */
-  int directory_port;          /* callers ask here for addresses */
+  MrSettings base;             /* http_port accepts requests of callers */
+  int ready_port;              /* for the readiness checks of the VM supervisor */
+  int directory_port;          /* for callers that look up addresses */
   int metrics_port;            /* 0: none */
-  int grace_ms;                /* from the order to stop until the process is killed */
-  int budget_window_ms;        /* in which hedges and retries are bounded */
-  double resend_ratio;         /* hedges and retries for each request */
-  double resend_slack;         /* of the whole fleet, beside the ratio */
-  double cold_factor;          /* a cold target bears so many times its rate */
-  double cold_slack;           /* and so many calls a second more */
-  GHashTable *regions;         /* failure domain -> its region, as far as settings say */
-  int tolerated_domain_losses; /* failure domains that may be lost at once */
-  int address_ttl_max_ms;      /* that callers keep an address answer; 0: not bounded */
+  int grace_ms;                /* from the stop signal until the process is killed */
+  int budget_window_ms;        /* window of the limit on hedges and retries */
+  double resend_ratio;         /* hedges and retries per request in the window */
+  double resend_slack;         /* hedges and retries of the whole fleet beyond the ratio */
+  double cold_factor;          /* a cold target gets at most this many times its call rate */
+  double cold_slack;           /* plus this many calls a second */
+  GHashTable *regions;         /* failure domain -> region, as configured */
+  int tolerated_domain_losses; /* failure domains whose simultaneous loss is tolerated */
+  int address_ttl_max_ms;      /* longest TTL of address answers; 0: unlimited */
   int max_descriptors;
 } MrRelaySettings;
--- a/src/relay_task.c
+++ b/src/relay_task.c
@@ -2,16 +2,16 @@
 
 #include "log.h"
 
-/* Of the time that a planned stop has, kept for the last requests, and for the
- * process to end. */
-static const MrTime FINISH_TIME = 1400 * MR_MS;
+/* Parts of a planned stop's grace period reserved for the last requests, and for the end of the
+ * process. */
+static const MrTime LAST_REQUESTS_TIME = 1400 * MR_MS;
 static const MrTime EXIT_TIME = 300 * MR_MS;
-/* Processor of one call, all in, in thousandths of a core for one a second
- * (docs/CAPACITY.md); the load of a daemon is told in steps from LOAD_STEP on. */
-static const double CALL_COST = 0.045;
-static const guint32 LOAD_STEP = 16;
-static const double LOAD_DOWN = 0.35;
-static const MrTime LOAD_GAP = 2 * MR_SECOND;
+/* Total CPU cost of one call a second in thousandths of a core (docs/CAPACITY.md).  The load of a
+ * daemon is reported in steps from MIN_LOAD_STEP up. */
+static const double CALL_CPU_COST = 0.045;
+static const guint32 MIN_LOAD_STEP = 16;
+static const double LOAD_DECREASE_RATIO = 0.35;
+static const MrTime LOAD_INTERVAL = 2 * MR_SECOND;
 
 gboolean
 mr_relay_task_ready (const MrRelayTask *task)
@@ -21,9 +21,9 @@
 
 /* Views. */
 
-/* Those that are gone first: a process may be listed anew under another id. */
+/* Removals first: a process may be listed again under another id. */
 static void
-S_take_targets (MrRelayTask *task, MrTime now, const GPtrArray *changes)
+S_update_targets (MrRelayTask *task, MrTime now, const GPtrArray *changes)
 {
   for (guint i = 0; i < changes->len; i++)
     {
@@ -42,15 +42,15 @@
 }
 
 static void
-S_take_configuration (MrRelayTask *task, const MrView *view)
+S_update_configuration (MrRelayTask *task, const MrView *view)
 {
-  const MrConfiguration *before = task->view ? task->view->configuration : NULL;
-  if (!view->configuration || view->configuration == before)
+  const MrConfiguration *previous = task->view ? task->view->configuration : NULL;
+  if (!view->configuration || view->configuration == previous)
     return;
   mr_log (MR_LOG_NOTICE, MR_EVENT_CONFIGURATION,
           "configuration %" G_GUINT64_FORMAT " is in force here, after %" G_GUINT64_FORMAT,
           mr_configuration_version (view->configuration),
-          before ? mr_configuration_version (before) : 0);
+          previous ? mr_configuration_version (previous) : 0);
   mr_caller_server_set_limits (task->caller_server, mr_configuration_limits (view->configuration));
 }
 
@@ -81,7 +81,7 @@
 }
 
 static void
-S_take_members (MrRelayTask *task, MrTime now, const GArray *members)
+S_update_members (MrRelayTask *task, MrTime now, const GArray *members)
 {
   mr_entry_plan_clear (&task->entry_plan);
   for (guint i = 0; i < members->len; i++)
@@ -99,42 +99,43 @@
 {
   MrTime now = mr_now ();
   if (changes->members->len > 0)
-    S_take_members (task, now, changes->members);
-  S_take_targets (task, now, changes->targets);
+    S_update_members (task, now, changes->members);
+  S_update_targets (task, now, changes->targets);
 }
 
 static void
 S_on_view (MrRelayTask *task, MrView *view)
 {
   MrTime now = mr_now ();
-  S_take_configuration (task, view);
+  S_update_configuration (task, view);
   mr_relay_set_evacuated (task->relay, now, view->evacuated_domains);
   mr_view_unref (task->view);
   task->view = mr_view_ref (view);
   S_announce (task);
 }
 
-/* Planned stop: out of the address answers at once, serving all the while for
- * callers who still hold an old answer, and gone when nothing is open. */
+/* A daemon that stops as planned is removed from address answers at once.  It keeps serving callers
+ * that still use an older answer, and ends when no connection is open. */
 static void
 S_on_stop (MrRelayTask *task)
 {
   if (task->stop_began != 0)
     return;
   task->stop_began = mr_now ();
-  mr_log (MR_LOG_NOTICE, MR_EVENT_STOPPING, "planned stop: %u requests open, %u callers connected",
+  mr_log (MR_LOG_NOTICE, MR_EVENT_STOPPING,
+          "planned stop begun: %u open requests, %u connected callers",
           mr_relay_request_count (task->relay), mr_caller_server_connections (task->caller_server));
   mr_caller_server_drain (task->caller_server);
   mr_mailbox_post (task->control, &mr_self_message_new (MR_MEMBER_LEAVING, TRUE)->base);
 }
 
 static void
-S_tick_stop (MrRelayTask *task, MrTime now, MrTime *next)
+S_continue_stop (MrRelayTask *task, MrTime now, MrTime *next)
 {
   if (task->stop_began == 0 || task->stopped)
     return;
   MrTime end = task->stop_began + task->settings->grace_ms * MR_MS;
-  if (now >= end - FINISH_TIME)
+  if (now >= end - LAST_REQUESTS_TIME)
     {
       mr_caller_server_close (task->caller_server);
       if (mr_caller_server_connections (task->caller_server) == 0 || now >= end - EXIT_TIME)
@@ -145,11 +146,11 @@
         }
     }
   const MrTime step = 50 * MR_MS;
-  *next = MIN (*next, MAX (now + step, end - FINISH_TIME));
+  *next = MIN (*next, MAX (now + step, end - LAST_REQUESTS_TIME));
 }
 
-/* Load in steps of a factor of two, with a gap between up and down, so that news
- * of it is rare. */
+/* Measures the load in steps of a factor of two.  The hysteresis between rising and falling makes
+ * changes, which are sent to all members, rare. */
 static void
 S_measure_load (MrRelayTask *task, MrTime now, MrTime *next)
 {
@@ -159,20 +160,20 @@
       return;
     }
   guint64 calls = mr_relay_counts (task->relay)->calls;
-  double seconds = (double) (now - task->next_load_at + LOAD_GAP) / (double) MR_SECOND;
-  double load = (double) (calls - task->calls_at_last_load) * CALL_COST / seconds;
-  guint32 step = LOAD_STEP;
+  double seconds = (double) (now - task->next_load_at + LOAD_INTERVAL) / (double) MR_SECOND;
+  double load = (double) (calls - task->calls_at_last_load) * CALL_CPU_COST / seconds;
+  guint32 step = MIN_LOAD_STEP;
   while (step < load)
     step *= 2;
-  if (load < LOAD_STEP)
+  if (load < MIN_LOAD_STEP)
     step = 0;
-  if (step > task->load || load < task->load * LOAD_DOWN)
+  if (step > task->load || load < task->load * LOAD_DECREASE_RATIO)
     task->load = step;
   task->calls_at_last_load = calls;
-  task->next_load_at = now + LOAD_GAP;
+  task->next_load_at = now + LOAD_INTERVAL;
   *next = MIN (*next, task->next_load_at);
   S_announce (task);
-  /* A part of what cold targets bear comes with time, without news of members. */
+  /* The share of the calls to cold targets also changes with time, without changes of members. */
   if (task->entry_plan.entries)
     S_set_shares (task, now);
 }
@@ -212,11 +213,11 @@
   mr_relay_request_flush_early (task, now, &next);
   next = MIN (next, mr_relay_tick (task->relay, now));
   S_measure_load (task, now, &next);
-  S_tick_stop (task, now, &next);
+  S_continue_stop (task, now, &next);
   return next;
 }
 
-/* Set-up. */
+/* Setup. */
 
 static MrStatus
 S_listen (MrRelayTask *task)
--- a/src/relay_task.h
+++ b/src/relay_task.h
@@ -1,8 +1,7 @@
-/* The one task of a relay that carries requests: callers on one side, targets
- * on the other, decisions in relay.h between them.
+/* The task of a relay that forwards requests from callers to targets, as relay.h decides.
  *
- * It learns configuration, targets and members from the control task's views
- * and tells it whether this daemon is ready or leaving. */
+ * It gets configuration, targets and members in views from the control task, and tells the control
+ * task whether this daemon is ready or leaving. */
 #pragma once
 
 #include "dialect.h"
@@ -11,7 +10,8 @@
 
 enum
 {
-  /* One plain success in this many has a log line; all else has one each. */
+  /* One in this many complete answers without hedges or retries is logged; all other results
+   * are. */
   MR_SUCCESS_LOG_INTERVAL = 50,
 };
 
@@ -22,11 +22,11 @@
   const MrRelaySettings *settings;
   const MrDialect *dialect;
   guint32 seed;
-  void (*stopped) (void *user); /* a planned stop is complete */
+  void (*stopped) (void *user); /* called when a planned stop is complete */
   void *user;
 } MrRelayTaskInfo;
 
-/* NULL with a message if an address can't be had. */
+/* NULL with a status message if it can't listen on one of its ports. */
 MrRelayTask *mr_relay_task_new (const MrRelayTaskInfo *info);
 void mr_relay_task_free (MrRelayTask *task);
 void mr_relay_task_connect (MrRelayTask *task, MrMailbox *control);
--- a/src/relay_task_private.h
+++ b/src/relay_task_private.h
@@ -1,8 +1,8 @@
-/* Inside of the relay's task, shared by its files:
- *   relay_task.c     views, readiness, planned stop, the loop
- *   relay_request.c  a caller's request from its head to its answer
- *   relay_log.c      log lines of what became of requests
- *   relay_pages.c    readiness, addresses, metrics */
+/* Internals of the relay task, shared by its files:
+ *   relay_task.c     views, readiness, planned stop, event loop
+ *   relay_request.c  requests from arrival to answer
+ *   relay_log.c      log lines of the results of requests
+ *   relay_pages.c    readiness, addresses, metrics, quarantine */
 #pragma once
 
 #include "caller_server.h"
@@ -39,50 +39,51 @@
   MrCallerServer *caller_server;
   MrCallerServer *ready_server;
   MrCallerServer *directory_server;
-  MrCallerServer *metrics_server; /* NULL: not asked for */
+  MrCallerServer *metrics_server; /* NULL: not configured */
   MrView *view;
   MrRoster *roster;
-  MrEntryPlan entry_plan; /* of the roster's members */
+  MrEntryPlan entry_plan; /* computed from the roster */
   MrColdShare *cold_share;
-  guint32 load; /* thousandths of a core, in steps */
+  guint32 load; /* thousandths of a core, rounded up to a power-of-two step */
   guint32 announced_load;
-  guint64 calls_at_last_load;     /* counted when the load was measured */
-  MrTime next_load_at;            /* next measurement */
-  gboolean announced_ready;       /* told the others that this daemon takes callers */
-  MrStartupQueue *early_requests; /* requests that came before this daemon was ready */
-  guint64 content_key;            /* of fingerprints: the deployment's */
-  guint64 early_request_count;    /* of them, ever */
+  guint64 calls_at_last_load;     /* calls counted at the last measurement */
+  MrTime next_load_at;            /* time of the next measurement */
+  gboolean announced_ready;       /* readiness last reported to the control task */
+  MrStartupQueue *early_requests; /* requests that arrived before this daemon was ready */
+  guint64 content_key;            /* the deployment's key for fingerprints */
+  guint64 early_request_count;    /* requests ever queued in early_requests */
   MrTime stop_began;              /* when the planned stop began; 0: none */
   gboolean stopped;
   void (*on_stopped) (void *user);
   void *user;
-  guint64 success_count;          /* plain answers, for the sampling of their log lines */
-  guint64 status_class_counts[6]; /* answers by hundreds */
-  MrHistogram success_latency;    /* of answers with success */
+  guint64 success_count; /* complete answers without hedges or retries, to sample their log lines */
+  guint64 status_class_counts[6]; /* answers by hundreds of the status code */
+  MrHistogram success_latency;    /* of successful answers */
 };
 
 #define RELAY_TASK_OF(pointer, member)                                                             \
   ((MrRelayTask *) (void *) ((char *) (pointer) -offsetof (MrRelayTask, member)))
 
-/* TRUE if this daemon can serve what the operators have put in force. */
+/* TRUE if the view from the control task is ready and has a configuration. */
 gboolean mr_relay_task_ready (const MrRelayTask *task);
 
-/* What a request's log line says beside its result. */
+/* Properties of a request for its log line. */
 typedef struct
 {
   const char *id;
   MrFingerprint fingerprint;
   const MrRoute *route;
-  guint64 version; /* of the configuration */
+  guint64 version; /* version of the configuration */
   int status;
   MrTime took;
-  MrTime time_left; /* until the caller's deadline */
+  MrTime time_left; /* time until the caller's deadline */
 } MrRequestLogInfo;
 
 void
-mr_relay_log_result (MrRelayTask *task, const MrRequestLogInfo *about, const MrRelayResult *result);
+mr_relay_log_result (MrRelayTask *task, const MrRequestLogInfo *info, const MrRelayResult *result);
 
 void mr_relay_request_init (MrRelayTask *task);
-/* Begins the requests that came early, or refuses them if it is time. */
+/* Starts the requests that arrived early once this daemon is ready; refuses them when their waiting
+ * time is over.  Lowers @next to that time. */
 void mr_relay_request_flush_early (MrRelayTask *task, MrTime now, MrTime *next);
 void mr_relay_pages_init (MrRelayTask *task);
