--- a/src/control_evidence.c
+++ b/src/control_evidence.c
@@ -2,16 +2,16 @@
 
 #include "log.h"
 
-/* Evidence that is of no use any more is looked for this often. */
-static const MrTime LOOK_GAP = 5 * MR_SECOND;
-/* A write that failed, or whose answer was lost, is made again after this. */
-static const MrTime RETRY_GAP = 500 * MR_MS;
+/* Interval of the search for expired evidence and evidence to store. */
+static const MrTime CHECK_INTERVAL = 5 * MR_SECOND;
+/* Delay before a failed write, or one whose answer was lost, is repeated. */
+static const MrTime WRITE_RETRY_DELAY = 500 * MR_MS;
 
 static const char kind[] = "quarantine";
 
-/* Tells those that send requests. */
+/* Notifies the tasks that send requests. */
 static void
-S_tell (const MrControlTask *task, MrFingerprint fingerprint, const MrEvidence *evidence)
+S_notify_senders (const MrControlTask *task, MrFingerprint fingerprint, const MrEvidence *evidence)
 {
   if (task->entry_mailbox)
     mr_mailbox_post (task->entry_mailbox, &mr_evidence_message_new (fingerprint, evidence)->base);
@@ -20,12 +20,12 @@
 }
 
 static void
-S_forget (MrControlTask *task, MrFingerprint fingerprint)
+S_remove (MrControlTask *task, MrFingerprint fingerprint)
 {
   char name[MR_FINGERPRINT_DIGITS + 1];
   mr_fingerprint_write (fingerprint, name);
   mr_registry_remove (task->registry, MR_OBJECT_EVIDENCE, name);
-  S_tell (task, fingerprint, NULL);
+  S_notify_senders (task, fingerprint, NULL);
 }
 
 static void
@@ -50,15 +50,15 @@
                         mr_evidence_pack (evidence), (MrText){ 0 }, NULL);
 }
 
-/* Offers what @evidence and what stands here are together, if that is more. */
+/* Offers @evidence merged with the known evidence, if that adds anything. */
 static void
-S_join (MrControlTask *task, const char *name, const MrEvidence *evidence)
+S_merge (MrControlTask *task, const char *name, const MrEvidence *evidence)
 {
   guint64 version = mr_registry_version (task->registry, MR_OBJECT_EVIDENCE, name);
   MrEvidence known = mr_evidence_unpack (version);
-  MrEvidence joined = mr_evidence_merge (&known, evidence);
-  if (mr_evidence_pack (&joined) > version)
-    S_offer (task, name, &joined);
+  MrEvidence merged = mr_evidence_merge (&known, evidence);
+  if (mr_evidence_pack (&merged) > version)
+    S_offer (task, name, &merged);
 }
 
 void
@@ -66,46 +66,47 @@
 {
   char name[MR_FINGERPRINT_DIGITS + 1];
   mr_fingerprint_write (message->fingerprint, name);
-  S_join (task, name, &message->evidence);
+  S_merge (task, name, &message->evidence);
 }
 
 void
 mr_control_evidence_updated (MrControlTask *task, const char *name, guint64 version)
 {
   MrFingerprint fingerprint = { 0 };
-  MrFingerprint left_out = { 0 };
+  MrFingerprint dropped = { 0 };
   MrEvidence evidence = mr_evidence_unpack (version);
   if (!mr_fingerprint_read (mr_text (name), &fingerprint))
     {
-      mr_log (MR_LOG_ERROR, MR_EVENT_OBJECT_BAD, "quarantine/%s: no fingerprint", name);
+      mr_log (MR_LOG_ERROR, MR_EVENT_OBJECT_BAD, "quarantine/%s: the name is not a fingerprint",
+              name);
       mr_registry_remove (task->registry, MR_OBJECT_EVIDENCE, name);
       return;
     }
-  if (!mr_quarantine_merge (task->quarantine, fingerprint, &evidence, mr_unix_time (), &left_out))
+  if (!mr_quarantine_merge (task->quarantine, fingerprint, &evidence, mr_unix_time (), &dropped))
     {
-      S_forget (task, fingerprint);
+      S_remove (task, fingerprint);
       return;
     }
-  /* What a peer has told may lack what stood here. */
+  /* The version from a peer may lack evidence that was known here. */
   evidence = mr_quarantine_get (task->quarantine, fingerprint);
-  if (mr_fingerprint_is_set (left_out))
-    S_forget (task, left_out);
+  if (mr_fingerprint_is_set (dropped))
+    S_remove (task, dropped);
   task->next_evidence_check = 0;
   if (mr_evidence_pack (&evidence) > version)
     {
-      char own[MR_FINGERPRINT_DIGITS + 1];
-      mr_fingerprint_write (fingerprint, own);
-      S_offer (task, own, &evidence);
+      char name_copy[MR_FINGERPRINT_DIGITS + 1];
+      mr_fingerprint_write (fingerprint, name_copy);
+      S_offer (task, name_copy, &evidence);
       return;
     }
   S_log (name, &evidence);
-  S_tell (task, fingerprint, &evidence);
+  S_notify_senders (task, fingerprint, &evidence);
 }
 
-/* The store's copies. */
+/* Stored copies. */
 
 static MrSavedEvidence *
-S_saved (MrControlTask *task, const char *name)
+S_get_saved (MrControlTask *task, const char *name)
 {
   MrSavedEvidence *saved = g_hash_table_lookup (task->saved_evidence, name);
   if (saved)
@@ -115,7 +116,7 @@
   return saved;
 }
 
-/* An operator has removed what the store held: that lifts the quarantine. */
+/* An operator deleted the stored object, which lifts the quarantine. */
 static void
 S_lift (MrControlTask *task, const char *name)
 {
@@ -141,20 +142,20 @@
     }
   if (!mr_evidence_read (mr_text_of (object->body), &evidence))
     {
-      mr_log (MR_LOG_ERROR, MR_EVENT_OBJECT_BAD, "quarantine/%s can't be read", object->name);
+      mr_log (MR_LOG_ERROR, MR_EVENT_OBJECT_BAD, "quarantine/%s: invalid evidence", object->name);
       return;
     }
-  MrSavedEvidence *saved = S_saved (task, object->name);
+  MrSavedEvidence *saved = S_get_saved (task, object->name);
   if (object->version < saved->version)
     return;
   saved->version = object->version;
   saved->evidence = mr_evidence_pack (&evidence);
-  S_join (task, object->name, &evidence);
+  S_merge (task, object->name, &evidence);
 }
 
-/* A platform that answers a write with the version alone. */
+/* For a platform that answers a write with the version only. */
 static void
-S_note_saved (MrSavedEvidence *saved, const MrPlatformResult *result)
+S_record_saved (MrSavedEvidence *saved, const MrPlatformResult *result)
 {
   MrEvidence evidence;
   if (!mr_evidence_read (mr_text_of (result->request->body), &evidence))
@@ -167,40 +168,40 @@
 mr_control_evidence_written (MrControlTask *task, MrTime now, const MrPlatformResult *result)
 {
   const char *name = result->request->name;
-  MrSavedEvidence *saved = S_saved (task, name);
+  MrSavedEvidence *saved = S_get_saved (task, name);
   saved->write_pending = FALSE;
-  saved->retry_at = now + RETRY_GAP;
+  saved->retry_at = now + WRITE_RETRY_DELAY;
   if (result->status == MR_ERROR_NOT_FOUND)
     S_lift (task, name);
   else if (result->objects->len > 0)
     mr_control_evidence_read_from_store (task, g_ptr_array_index (result->objects, 0));
   else if (result->status == MR_OK)
-    S_note_saved (saved, result);
-  task->next_evidence_check = MIN (task->next_evidence_check, now + RETRY_GAP);
+    S_record_saved (saved, result);
+  task->next_evidence_check = MIN (task->next_evidence_check, now + WRITE_RETRY_DELAY);
 }
 
 typedef struct
 {
   MrControlTask *task;
   MrTime now;
-} Saving;
+} SaveContext;
 
-/* What would be lost with all daemons at once, and cost targets again: quarantines.  One
- * daemon saves for all, and the next one when that is gone. */
+/* Stores quarantines, which would otherwise be lost if all daemons stopped at once, and cost
+ * targets again.  One daemon writes for all; if it is lost, the next one does. */
 static void
 S_save (MrFingerprint fingerprint, const MrEvidence *evidence, void *user)
 {
-  const Saving *saving = user;
-  MrControlTask *task = saving->task;
+  const SaveContext *context = user;
+  MrControlTask *task = context->task;
   char name[MR_FINGERPRINT_DIGITS + 1];
   mr_fingerprint_write (fingerprint, name);
   gboolean quarantined =
       mr_evidence_standing (evidence, mr_unix_time ()) == MR_STANDING_QUARANTINED;
   if (!quarantined && !g_hash_table_contains (task->saved_evidence, name))
     return;
-  MrSavedEvidence *saved = S_saved (task, name);
+  MrSavedEvidence *saved = S_get_saved (task, name);
   if (saved->write_pending || saved->evidence >= mr_evidence_pack (evidence) ||
-      saving->now < saved->retry_at)
+      context->now < saved->retry_at)
     return;
   g_autofree char *json = mr_evidence_write (evidence, mr_unix_time ());
   MrPlatformRequest *request = mr_platform_request_new (MR_PLATFORM_WRITE, kind, name);
@@ -217,15 +218,15 @@
   *next = MIN (*next, MAX (task->next_evidence_check, now));
   if (now < task->next_evidence_check)
     return;
-  task->next_evidence_check = now + LOOK_GAP;
+  task->next_evidence_check = now + CHECK_INTERVAL;
   while (mr_quarantine_remove_expired (task->quarantine, mr_unix_time (), &expired))
     {
-      S_forget (task, expired);
+      S_remove (task, expired);
       mr_membership_set_registry_digest (task->membership, mr_registry_digest (task->registry));
     }
-  Saving saving = { .task = task, .now = now };
+  SaveContext context = { .task = task, .now = now };
   if (task->platform_up && mr_watch_is_first_watcher (task->roster, task->settings->name))
-    mr_quarantine_foreach (task->quarantine, S_save, &saving);
+    mr_quarantine_foreach (task->quarantine, S_save, &context);
   *next = MIN (*next, task->next_evidence_check);
 }
 
