--- a/src/relay_admit.c
+++ b/src/relay_admit.c
@@ -2,74 +2,74 @@
 
 #include <math.h>
 
-/* Kept back from the caller's own deadline for the answer's way. */
+/* Subtracted from the caller's own deadline, for sending the answer. */
 static const MrTime DEADLINE_RESERVE = 20 * MR_MS;
-/* A request is refused if it would wait for longer than this share of its aim:
- * it would come late, and take room from those that can still be in time. */
-static const double WAIT_SHARE = 0.6;
-/* Expected time of the deciding shard over the time that an answer in time has,
- * from which some requests are refused, and at which most of those that are.
- * Where a shard that every answer needs is asked for 110 % of its slots, all
- * answers come late (worth a tenth); the few that are refused at once and told
- * when to come back bring the others in time.  Never all: without requests nobody
- * would see that the load has gone. */
-static const double TURN_AWAY_FROM = 0.5;
-static const double TURN_AWAY_FULL = 0.9;
-static const double TURN_AWAY_MOST = 0.9;
-/* A kind of request that nobody has made for this long is not the most pressing. */
-static const MrTime SHORTEST_KEPT = 10 * MR_SECOND;
+/* A request is refused if its queueing delay would exceed this fraction of its latency goal: its
+ * answer would be late, and it would take capacity from requests that can still be in time. */
+static const double WAIT_FRACTION_MAX = 0.6;
+/* Load shedding by the load of the critical shard, which is the expected time of its call over the
+ * time until the soft deadline: the refused fraction grows from 0 at SHED_LOAD_MIN to 1 at
+ * SHED_LOAD_FULL, but not beyond SHED_FRACTION_MAX.  Where a shard that every answer needs is asked
+ * for 110 % of its slots, all answers are late and have a tenth of their utility; refusing a few
+ * requests at once, with a Retry-After, keeps the others in time.  If all were refused, the end of
+ * the overload would not be noticed. */
+static const double SHED_LOAD_MIN = 0.5;
+static const double SHED_LOAD_FULL = 0.9;
+static const double SHED_FRACTION_MAX = 0.9;
+/* How long the least time left of a pool is kept if no request confirms it. */
+static const MrTime MIN_TIME_LEFT_TTL = 10 * MR_SECOND;
 
-/* Smooth weighted round robin: shares are exact over every few requests, with
- * no chance in them. */
+/* Smooth weighted round robin: the shares are exact over every few requests, without randomness. */
 typedef struct
 {
   guint64 version;
-  GArray *credit; /* double, one a part */
-} Split;
+  GArray *credit; /* double, one for each service */
+} SplitState;
 
 void
 mr_relay_split_free (gpointer data)
 {
-  Split *split = data;
+  SplitState *split = data;
   g_array_unref (split->credit);
   g_free (split);
 }
 
 static RouteStats *
-S_kind (MrRelay *r, const MrRoute *route, const BudgetPool *pool)
+S_get_route_stats (MrRelay *relay, const MrRoute *route, const BudgetPool *pool)
 {
-  RouteStats *kind = g_hash_table_lookup (r->route_stats, route->name);
-  if (!kind)
+  RouteStats *stats = g_hash_table_lookup (relay->route_stats, route->name);
+  if (!stats)
     {
-      kind = g_new0 (RouteStats, 1);
-      kind->policy = r->policy;
-      kind->mean = r->policy->initial_mean_fraction * (double) route->latency_goal;
-      g_hash_table_insert (r->route_stats, g_strdup (route->name), kind);
+      stats = g_new0 (RouteStats, 1);
+      stats->policy = relay->policy;
+      stats->mean = relay->policy->initial_mean_fraction * (double) route->latency_goal;
+      g_hash_table_insert (relay->route_stats, g_strdup (route->name), stats);
     }
-  if (kind->latency_goal == route->latency_goal && kind->hedge_quantile == pool->hedge_quantile)
-    return kind;
-  kind->latency_goal = route->latency_goal;
-  kind->hedge_quantile = pool->hedge_quantile;
-  mr_relay_update_stats (kind);
-  return kind;
+  if (stats->latency_goal == route->latency_goal && stats->hedge_quantile == pool->hedge_quantile)
+    return stats;
+  stats->latency_goal = route->latency_goal;
+  stats->hedge_quantile = pool->hedge_quantile;
+  mr_relay_update_stats (stats);
+  return stats;
 }
 
 static guint
-S_pick_split (MrRelay *r, const MrConfiguration *configuration, const MrRoute *route)
+S_choose_split_service (MrRelay *relay, const MrConfiguration *configuration, const MrRoute *route)
 {
-  Split *split = g_hash_table_lookup (r->splits, route->name);
+  SplitState *split = g_hash_table_lookup (relay->splits, route->name);
   guint64 version = mr_configuration_version (configuration);
   if (!split || split->version != version || split->credit->len != route->service_count)
     {
-      split = g_new (Split, 1);
-      *split = (Split){ .version = version, .credit = g_array_new (FALSE, TRUE, sizeof (double)) };
+      split = g_new (SplitState, 1);
+      *split =
+          (SplitState){ .version = version, .credit = g_array_new (FALSE, TRUE, sizeof (double)) };
       g_array_set_size (split->credit, route->service_count);
-      /* Daemons start at different places, or the fleet's first requests would
-       * all go to one part. */
+      /* Random start values: otherwise the first requests of all daemons would go to the same
+       * service. */
       for (guint i = 0; i < route->service_count; i++)
         g_array_index (split->credit, double, i) =
-            g_rand_double (r->random) * route->services[i].weight;
-      g_hash_table_replace (r->splits, g_strdup (route->name), split);
+            g_rand_double (relay->random) * route->services[i].weight;
+      g_hash_table_replace (relay->splits, g_strdup (route->name), split);
     }
   double total = 0;
   guint best = 0;
@@ -86,7 +86,7 @@
 }
 
 static guint
-S_needed_shards (const MrRoute *route)
+S_needed_parts (const MrRoute *route)
 {
   if (route->kind == MR_ROUTE_BATCH)
     return 0;
@@ -100,205 +100,207 @@
 }
 
 static void
-S_note_shortest (BudgetPool *pool, MrTime now, MrTime left)
+S_record_min_time_left (BudgetPool *pool, MrTime now, MrTime time_left)
 {
-  if (pool->min_time_left_at != 0 && left > pool->min_time_left &&
-      now - pool->min_time_left_at < SHORTEST_KEPT)
+  if (pool->min_time_left_at != 0 && time_left > pool->min_time_left &&
+      now - pool->min_time_left_at < MIN_TIME_LEFT_TTL)
     return;
-  pool->min_time_left = MAX (left, 1);
+  pool->min_time_left = MAX (time_left, 1);
   pool->min_time_left_at = now;
 }
 
 static MrTime
-S_patience (const MrRelay *r, const MrRelayRequestParams *request, MrTime arrived)
+S_time_to_soft_deadline (const MrRelay *relay, const MrRelayRequestParams *params, MrTime arrived)
 {
-  const MrSoftDeadlineParams terms = {
-    .latency_goal = request->route->latency_goal,
-    .time_limit = request->route->time_limit,
-    .remaining = request->deadline - arrived,
-    .round_trip = request->round_trip,
-    .response_overhead = mr_response_overhead_estimate (&r->response_overhead),
+  const MrSoftDeadlineParams soft_deadline_params = {
+    .latency_goal = params->route->latency_goal,
+    .time_limit = params->route->time_limit,
+    .remaining = params->deadline - arrived,
+    .round_trip = params->round_trip,
+    .response_overhead = mr_response_overhead_estimate (&relay->response_overhead),
   };
-  return mr_soft_deadline (&terms);
+  return mr_soft_deadline (&soft_deadline_params);
 }
 
 static MrActiveRequest *
-S_work_new (MrRelay *r, MrTime now, const MrRelayRequestParams *request)
+S_request_new (MrRelay *relay, MrTime now, const MrRelayRequestParams *params)
 {
-  MrActiveRequest *work = g_new0 (MrActiveRequest, 1);
-  const MrRoute *route = request->route;
-  MrConfiguration *configuration = request->configuration;
-  MrTime arrived = request->arrived ? request->arrived : now;
+  MrActiveRequest *request = g_new0 (MrActiveRequest, 1);
+  const MrRoute *route = params->route;
+  MrConfiguration *configuration = params->configuration;
+  MrTime arrived = params->arrived ? params->arrived : now;
   gboolean shards = route->kind == MR_ROUTE_SHARDS;
-  /* A batch's deadline is its root's, which has kept its reserve back already. */
+  /* The deadline of a batch comes from the root of its query, which has subtracted the reserve. */
   MrTime reserve = route->kind == MR_ROUTE_BATCH ? 0 : DEADLINE_RESERVE;
-  *work = (MrActiveRequest){
+  *request = (MrActiveRequest){
     .owner_kind = TIMER_REQUEST,
-    .timer = { .owner = work },
-    .host_request = request->host_request,
+    .timer = { .owner = request },
+    .host_request = params->host_request,
     .configuration = configuration ? mr_configuration_ref (configuration) : NULL,
     .route = route,
     .arrived = arrived,
-    .deadline = request->deadline,
-    .fingerprint = request->fingerprint,
-    .soft_deadline = shards ? arrived + S_patience (r, request, arrived) : MR_NEVER,
-    .hard_end = MIN (request->deadline - reserve, arrived + route->time_limit),
+    .deadline = params->deadline,
+    .fingerprint = params->fingerprint,
+    .soft_deadline = shards ? arrived + S_time_to_soft_deadline (relay, params, arrived) : MR_NEVER,
+    .hard_deadline = MIN (params->deadline - reserve, arrived + route->time_limit),
     .cancel_at = MR_NEVER,
     .part_count = route->kind >= MR_ROUTE_SHARDS ? route->service_count : 1,
-    .needed_parts = S_needed_shards (route),
+    .needed_parts = S_needed_parts (route),
   };
-  work->open_parts = work->part_count;
-  work->parts = g_new0 (RequestPart, work->part_count);
-  work->answers = g_new0 (gpointer, work->part_count);
-  work->sends = g_array_new (FALSE, FALSE, sizeof (MrSendRecord));
-  guint first = route->kind == MR_ROUTE_SPLIT ? S_pick_split (r, configuration, route) : 0;
-  for (guint i = 0; i < work->part_count; i++)
+  request->open_parts = request->part_count;
+  request->parts = g_new0 (RequestPart, request->part_count);
+  request->answers = g_new0 (gpointer, request->part_count);
+  request->sends = g_array_new (FALSE, FALSE, sizeof (MrSendRecord));
+  guint first =
+      route->kind == MR_ROUTE_SPLIT ? S_choose_split_service (relay, configuration, route) : 0;
+  for (guint i = 0; i < request->part_count; i++)
     {
-      TargetGroup *service = mr_relay_get_group (r, route->services[first + i].service);
-      work->parts[i] =
-          (RequestPart){ .request = work, .index = i, .group = service, .hedge_at = MR_NEVER };
-      mr_resend_budget_add_request (&service->pool->budget, &service->pool->terms, now);
-      mr_relay_update_limits (r, work, service);
+      TargetGroup *group = mr_relay_get_group (relay, route->services[first + i].service);
+      request->parts[i] =
+          (RequestPart){ .request = request, .index = i, .group = group, .hedge_at = MR_NEVER };
+      mr_resend_budget_add_request (&group->pool->budget, &group->pool->terms, now);
+      mr_relay_update_limits (relay, request, group);
       if (shards)
-        S_note_shortest (service->pool, now, work->soft_deadline - arrived);
+        S_record_min_time_left (group->pool, now, request->soft_deadline - arrived);
     }
-  work->stats = S_kind (r, route, work->parts[0].group->pool);
-  return work;
+  request->stats = S_get_route_stats (relay, route, request->parts[0].group->pool);
+  return request;
 }
 
-/* Load of the shard that decides when the answer is ready: the worst one that may
- * not be left out.  A shard that is slow without being crowded counts for
- * nothing: refusing callers would not make it faster, and a late answer is better
- * than none.
+/* Load of the critical shard, which decides when the answer is ready: the most loaded one after the
+ * parts that may be left out.  A shard that is slow but not saturated counts as 0: refusing callers
+ * would not make it faster, and a late answer is better than none.
  *
- * Requests that have more time than the most pressing ones of the service see more
- * load, by the square root of the ratio: left to the others' queue, those with 80 ms
- * would all be refused before those with 200 ms saw any.  Three times the usual load,
- * on the virtual clock: 0.95 and 0.46 of the worth of the two kinds without it, 0.88
- * and 0.68 with it.  By the ratio itself the less urgent kind came first where a shard
- * is over full (0.80 and 0.89). */
+ * A request with more time left than the most urgent ones of the pool sees a load that is higher by
+ * the square root of the ratio.  Otherwise requests with 80 ms left would all be refused because of
+ * the queue of those with 200 ms before any of the latter is.  At three times the usual load, on
+ * the virtual clock, the two kinds of requests reach 0.95 and 0.46 of their utility without this
+ * factor, and 0.88 and 0.68 with it.  With the plain ratio, the less urgent kind came off worse
+ * where a shard was over capacity (0.80 and 0.89). */
 static double
-S_deciding_load (const MrActiveRequest *work, MrTime now)
+S_critical_shard_load (const MrActiveRequest *request, MrTime now)
 {
-  double left = (double) (work->soft_deadline - now);
+  double time_left = (double) (request->soft_deadline - now);
   enum
   {
-    SPARE_MAX = 8
+    OMITTABLE_MAX = 8
   };
-  double worst[SPARE_MAX + 1] = { 0 };
-  guint spare = MIN (work->omittable_parts, (guint) SPARE_MAX);
-  for (guint i = 0; i < work->part_count; i++)
+  double worst[OMITTABLE_MAX + 1] = { 0 };
+  guint omittable = MIN (request->omittable_parts, (guint) OMITTABLE_MAX);
+  for (guint i = 0; i < request->part_count; i++)
     {
       double load = 0;
-      if (mr_relay_part_is_saturated (&work->parts[i], now))
-        load = mr_relay_part_load (&work->parts[i], now) *
-               sqrt (left / (double) work->parts[i].group->pool->min_time_left);
-      for (guint place = 0; place <= spare; place++)
-        if (load > worst[place])
+      if (mr_relay_part_is_saturated (&request->parts[i], now))
+        load = mr_relay_part_load (&request->parts[i], now) *
+               sqrt (time_left / (double) request->parts[i].group->pool->min_time_left);
+      for (guint rank = 0; rank <= omittable; rank++)
+        if (load > worst[rank])
           {
-            double held = worst[place];
-            worst[place] = load;
-            load = held;
+            double displaced = worst[rank];
+            worst[rank] = load;
+            load = displaced;
           }
     }
-  return worst[spare];
+  return worst[omittable];
 }
 
 /* TRUE if the request is to be refused so that others are in time. */
 static gboolean
-S_turn_away (MrRelay *r, const MrActiveRequest *work, MrTime now)
+S_should_shed (MrRelay *relay, const MrActiveRequest *request, MrTime now)
 {
-  if (work->route->kind != MR_ROUTE_SHARDS)
+  if (request->route->kind != MR_ROUTE_SHARDS)
     return FALSE;
-  double load = S_deciding_load (work, now);
-  double share =
-      CLAMP ((load - TURN_AWAY_FROM) / (TURN_AWAY_FULL - TURN_AWAY_FROM), 0, TURN_AWAY_MOST);
-  return share > 0 && g_rand_double (r->random) < share;
+  double load = S_critical_shard_load (request, now);
+  double fraction =
+      CLAMP ((load - SHED_LOAD_MIN) / (SHED_LOAD_FULL - SHED_LOAD_MIN), 0, SHED_FRACTION_MAX);
+  return fraction > 0 && g_rand_double (relay->random) < fraction;
 }
 
-/* Cause for which the request can't be served; MR_CAUSE_NONE if it can. */
+/* Why the request can't be served; MR_CAUSE_NONE if it can.  Also sets the parts that may be left
+ * out. */
 static MrCause
-S_admit (MrActiveRequest *work, MrTime now, MrTime *wait)
+S_check_capacity (MrActiveRequest *request, MrTime now, MrTime *wait)
 {
-  MrCause none = MR_CAUSE_NO_TARGET;
-  guint alive = 0;
-  guint quick = 0;
+  MrCause no_target_cause = MR_CAUSE_NO_TARGET;
+  guint usable_groups = 0;
+  guint timely_groups = 0;
   double room = 0;
   *wait = 0;
-  if (work->hard_end <= now)
+  if (request->hard_deadline <= now)
     return MR_CAUSE_TIME;
-  if (work->needed_parts == 0)
+  if (request->needed_parts == 0)
     return MR_CAUSE_NONE;
-  MrTime most =
-      (MrTime) (WAIT_SHARE * (double) MIN (work->route->latency_goal, work->hard_end - now));
-  for (guint i = 0; i < work->part_count; i++)
+  MrTime max_wait = (MrTime) (WAIT_FRACTION_MAX * (double) MIN (request->route->latency_goal,
+                                                                request->hard_deadline - now));
+  for (guint i = 0; i < request->part_count; i++)
     {
-      const TargetGroup *service = work->parts[i].group;
-      if (mr_relay_group_capacity (service, now, &room) == 0)
+      const TargetGroup *group = request->parts[i].group;
+      if (mr_relay_group_capacity (group, now, &room) == 0)
         {
-          none = none == MR_CAUSE_EVACUATED ? none : mr_relay_no_target_cause (service);
+          no_target_cause = no_target_cause == MR_CAUSE_EVACUATED
+                                ? no_target_cause
+                                : mr_relay_no_target_cause (group);
           continue;
         }
-      alive++;
-      MrTime expected = mr_relay_expected_wait (&work->parts[i], now);
+      usable_groups++;
+      MrTime expected = mr_relay_expected_wait (&request->parts[i], now);
       *wait = MAX (*wait, expected);
-      if (expected <= most)
-        quick++;
+      if (expected <= max_wait)
+        timely_groups++;
     }
-  if (alive < work->needed_parts)
-    return none;
-  work->omittable_parts = alive - work->needed_parts;
-  return quick < work->needed_parts ? MR_CAUSE_OVERLOAD : MR_CAUSE_NONE;
+  if (usable_groups < request->needed_parts)
+    return no_target_cause;
+  request->omittable_parts = usable_groups - request->needed_parts;
+  return timely_groups < request->needed_parts ? MR_CAUSE_OVERLOAD : MR_CAUSE_NONE;
 }
 
 gboolean
-mr_relay_begin_part (MrRelay *r, MrTime now, RequestPart *job)
+mr_relay_begin_part (MrRelay *relay, MrTime now, RequestPart *part)
 {
-  if (!mr_relay_leave_out (r, now, job))
-    return mr_relay_send_or_queue (r, now, job, MR_SEND_FIRST);
-  MrActiveRequest *work = job->request;
-  r->counts.left_out++;
-  mr_relay_finish_part (r, now, job, MR_CAUSE_OVERLOAD);
-  return g_hash_table_contains (r->requests, work);
+  if (!mr_relay_leave_out (relay, now, part))
+    return mr_relay_send_or_queue (relay, now, part, MR_SEND_FIRST);
+  MrActiveRequest *request = part->request;
+  relay->counts.left_out++;
+  mr_relay_finish_part (relay, now, part, MR_CAUSE_OVERLOAD);
+  return g_hash_table_contains (relay->requests, request);
 }
 
 MrActiveRequest *
-mr_relay_submit (MrRelay *r, MrTime now, const MrRelayRequestParams *request)
+mr_relay_submit (MrRelay *relay, MrTime now, const MrRelayRequestParams *params)
 {
-  MrActiveRequest *work = S_work_new (r, now, request);
+  MrActiveRequest *request = S_request_new (relay, now, params);
   MrTime wait = 0;
-  g_hash_table_add (r->requests, work);
-  r->counts.requests++;
-  work->cause = mr_relay_admit_content (r, now, work);
-  if (work->cause == MR_CAUSE_NONE)
-    work->cause = S_admit (work, now, &wait);
-  if (work->cause == MR_CAUSE_NONE && S_turn_away (r, work, now))
-    work->cause = MR_CAUSE_OVERLOAD;
-  if (work->cause != MR_CAUSE_NONE)
+  g_hash_table_add (relay->requests, request);
+  relay->counts.requests++;
+  request->cause = mr_relay_admit_content (relay, now, request);
+  if (request->cause == MR_CAUSE_NONE)
+    request->cause = S_check_capacity (request, now, &wait);
+  if (request->cause == MR_CAUSE_NONE && S_should_shed (relay, request, now))
+    request->cause = MR_CAUSE_OVERLOAD;
+  if (request->cause != MR_CAUSE_NONE)
     {
-      mr_relay_finish_request (r, now, work, MR_VERDICT_REFUSED);
+      mr_relay_finish_request (relay, now, request, MR_VERDICT_REFUSED);
       return NULL;
     }
-  if (work->sequential)
+  if (request->sequential)
     {
-      for (guint i = 0; i < work->part_count; i++)
-        mr_relay_hold_part (&work->parts[i]);
-      mr_relay_schedule (r, work);
-      return work;
+      for (guint i = 0; i < request->part_count; i++)
+        mr_relay_hold_part (&request->parts[i]);
+      mr_relay_schedule (relay, request);
+      return request;
     }
-  mr_relay_schedule (r, work);
-  if (mr_relay_is_staged (r, now, work))
+  mr_relay_schedule (relay, request);
+  if (mr_relay_is_staged (relay, now, request))
     {
-      mr_relay_begin_first_stage (r, now, work);
-      return g_hash_table_contains (r->requests, work) ? work : NULL;
+      mr_relay_begin_first_stage (relay, now, request);
+      return g_hash_table_contains (relay->requests, request) ? request : NULL;
     }
-  /* From a random one on, so that what may be left out is shared by all shards
-   * that are loaded. */
-  guint count = work->part_count;
-  guint first = count > 1 ? (guint) g_rand_int_range (r->random, 0, (gint32) count) : 0;
+  /* Starts at a random part, so that all loaded shards have the same chance to be left out. */
+  guint count = request->part_count;
+  guint first = count > 1 ? (guint) g_rand_int_range (relay->random, 0, (gint32) count) : 0;
   for (guint i = 0; i < count; i++)
-    if (!mr_relay_begin_part (r, now, &work->parts[(first + i) % count]) &&
-        !g_hash_table_contains (r->requests, work))
+    if (!mr_relay_begin_part (relay, now, &request->parts[(first + i) % count]) &&
+        !g_hash_table_contains (relay->requests, request))
       return NULL;
-  return work;
+  return request;
 }
--- a/src/relay_private.h
+++ b/src/relay_private.h
@@ -1,4 +1,4 @@
-/* Inside of the relay's decisions, shared by its files. */
+/* Types and functions shared by the relay's source files. */
 #pragma once
 
 #include "histogram.h"
@@ -13,50 +13,50 @@
   PART_ATTEMPTS_MAX = 8, /* targets remembered as tried */
 };
 
-/* Of a service whose targets' limits have not been set yet. */
+/* Value of limits_connection_share before the limits of the group's targets are set. */
 #define LIMITS_UNSET (-1.0)
 
 typedef struct _RequestPart RequestPart;
 
-/* What several sets of targets share. */
+/* Resend budget and counters shared by several groups. */
 typedef struct
 {
   MrResendBudget budget;
   MrResendBudgetConfig terms;
   double hedge_quantile;
-  MrTime min_time_left; /* time that the most pressing requests have for an answer */
+  MrTime min_time_left; /* the least time that a recent request had until its soft deadline */
   MrTime min_time_left_at;
-  guint queued[MR_PRIORITIES]; /* jobs in the sets' queues */
+  guint queued[MR_PRIORITIES]; /* parts in the queues of the groups, by priority */
 } BudgetPool;
 
-/* Targets that serve alike: those of a service, or of one shard of a map. */
+/* Interchangeable targets: those of a service, or of one shard of a shard map. */
 typedef struct
 {
   char *name;
   BudgetPool *pool;
   GPtrArray *targets; /* MrTargetState, borrowed */
-  GQueue queue;       /* Job, first to go first */
-  /* What the targets' limits were set for. */
+  GQueue queue;       /* RequestPart, in the order of sending */
+  /* Inputs from which the targets' limits were last computed. */
   guint64 limits_version;
   double limits_connection_share;
   double limits_cold_share;
-  MrTime cold_time; /* of a target that has started or come back */
+  MrTime cold_time; /* how long a target is cold after it has started or come back */
 } TargetGroup;
 
-/* Running measures of one route's calls: requests of one route are alike. */
+/* Running statistics of one route's calls. */
 typedef struct
 {
   const MrRelayPolicy *policy;
   MrHistogram latency;
-  MrTime latency_goal; /* of the route */
+  MrTime latency_goal;
   double hedge_quantile;
   double mean;          /* us */
-  double median;        /* median, us; a few slow targets don't move it */
-  double lowest_median; /* least median of late, us */
-  MrTime hedge_delay;   /* a call that takes longer is worth a hedge */
+  double median;        /* us; unlike the mean, robust against a few slow targets */
+  double lowest_median; /* lowest recent median, us: latency without load */
+  MrTime hedge_delay;   /* slower calls are hedged */
 } RouteStats;
 
-/* What a timer belongs to; first member of its owner. */
+/* Kind of a timer's owner; first member of each owner. */
 typedef enum
 {
   TIMER_REQUEST,
@@ -67,64 +67,64 @@
 typedef struct
 {
   TimerOwnerKind owner_kind;
-  MrTimer timer; /* silence, or the end of waiting for a call nobody wants */
+  MrTimer timer; /* silence timeout, or end of lingering once the call is abandoned */
   guint64 id;
-  RequestPart *part; /* NULL once nobody wants it */
+  RequestPart *part; /* NULL once the call is abandoned */
   MrTargetState *target;
-  GList target_link; /* in the target's open calls */
+  GList target_link; /* in the target's open_calls */
   RouteStats *stats;
   MrTime started;
-  guint send_index; /* index in the work's sends */
+  guint send_index; /* in the request's sends */
   MrFingerprint fingerprint;
 } Call;
 
-/* What a job's call to a target has come to. */
+/* Result of a part's calls to one target. */
 typedef enum
 {
-  ATTEMPT_UNSENT,  /* never connected: the target has not seen it */
-  ATTEMPT_REFUSED, /* seen, and not run by the target's word */
-  ATTEMPT_SENT,    /* out, or may have run */
+  ATTEMPT_UNSENT,  /* no connection: the target has not seen a call */
+  ATTEMPT_REFUSED, /* the target refused it without running it */
+  ATTEMPT_SENT,    /* in flight, or may have run */
 } AttemptState;
 
 typedef struct
 {
   const MrTargetState *target;
   AttemptState state;
-  gboolean has_refused; /* it has refused one of the job's calls, whatever came of the latest */
+  gboolean has_refused; /* at least one call, whatever became of the latest */
   guint send_count;     /* calls sent to it */
 } TargetAttempt;
 
-/* A content under which targets have ended, or may have. */
+/* A request content under which targets have crashed, or may have. */
 typedef struct
 {
   MrFingerprint fingerprint;
   MrEvidence evidence;
-  gboolean published;        /* others know of it, or have told us */
-  guint trials;              /* requests that are trying it now, one target at a time */
-  MrTime update_received_at; /* when others last told something new of it; 0: never */
+  gboolean published;        /* known to other daemons, or reported by them */
+  guint trials;              /* requests that are currently sent one call at a time to try it */
+  MrTime update_received_at; /* last new evidence from another daemon; 0: none */
 } SuspectContent;
 
-/* A call has broken, and whether its target has ended is being found out. */
+/* A pending check whether the target of a broken call has crashed. */
 typedef struct
 {
   TimerOwnerKind owner_kind;
-  MrTimer timer; /* the end of waiting for it */
+  MrTimer timer; /* end of the check */
   MrTargetState *target;
-  MrActiveRequest *request; /* NULL: has its verdict */
-  RequestPart *part;        /* NULL as well */
+  MrActiveRequest *request; /* NULL once it is finished */
+  RequestPart *part;        /* NULL once the request is finished */
   MrFingerprint fingerprint;
-  MrEvidence evidence_at_send; /* what was known when the call was sent */
+  MrEvidence evidence_at_send; /* known when the call was sent */
   gboolean probation;
-  gboolean crash_confirmed; /* it is known: the target has ended */
+  gboolean crash_confirmed; /* the target is already known to have crashed */
 } CrashCheck;
 
 enum
 {
-  CRASHED_TARGETS_KEPT = 16, /* targets that ended last */
-  CRASHED_CONTENTS_MAX = 8,  /* of the calls that were on one; more than it mostly has slots */
+  CRASHED_TARGETS_KEPT = 16, /* the latest ones */
+  CRASHED_CONTENTS_MAX = 8,  /* of the calls in flight; more than most targets have slots */
 };
 
-/* A target that was found to have ended with calls from here on it. */
+/* A target that crashed with calls from this daemon in flight. */
 typedef struct
 {
   MrTime at;
@@ -132,25 +132,25 @@
   MrFingerprint contents[CRASHED_CONTENTS_MAX];
 } CrashedTarget;
 
-/* One part of a request. */
+/* One part of a request, sent to one group of targets. */
 struct _RequestPart
 {
   MrActiveRequest *request;
   guint index;
   TargetGroup *group;
-  GList queue_link; /* in the service's queue */
+  GList queue_link; /* in the group's queue */
   gboolean queued;
   gboolean ended;
-  gboolean held;                 /* until another part of the request has been answered */
-  gboolean trial_reached_target; /* its trial has reached a target, which has not answered it */
-  guint crash_checks;            /* broken calls whose targets may have ended */
-  MrSendReason send_reason;      /* of the send it waits for */
-  guint send_count;              /* that may have reached a target */
+  gboolean held;                 /* not sent until another part of the request is answered */
+  gboolean trial_reached_target; /* its trial reached a target, which has not answered */
+  guint crash_checks;            /* pending, of its broken calls */
+  MrSendReason send_reason;      /* of the send that it is queued for */
+  guint send_count;              /* sends that may have reached a target */
   guint attempt_count;
   TargetAttempt attempts[PART_ATTEMPTS_MAX];
   Call *calls[PART_CALLS_MAX];
   MrTime hedge_at;
-  gpointer error_answer; /* last answer that tells a failure */
+  gpointer error_answer; /* the latest answer that reports an error */
 };
 
 struct _MrActiveRequest
@@ -162,34 +162,33 @@
   const MrRoute *route;
   RouteStats *stats;
   MrTime arrived;
-  MrTime soft_deadline; /* from then on, enough shards are answered with */
-  MrTime hard_end;
-  MrTime deadline; /* as the caller said */
+  MrTime soft_deadline; /* from then on, answered as soon as enough parts are answered */
+  MrTime hard_deadline;
+  MrTime deadline; /* given by the caller */
   MrFingerprint fingerprint;
-  MrEvidence
-      evidence_at_send; /* what was known of its content when the calls that are out were sent */
-  gboolean suspect;     /* a target has ended under its content, and none has answered */
-  gboolean crash_seen;  /* under one of its own calls */
-  gboolean sequential;  /* one call at a time, until one is answered */
-  gboolean staged;      /* one part is out, the others follow its answer */
-  gboolean counted_as_trial; /* counts among its content's trials */
-  gboolean probation;        /* tries a quarantined content once more */
-  RequestPart *trial_part;   /* the part that is out, or on its way */
-  MrTime cancel_at;          /* when its calls are cancelled; MR_NEVER: they are not */
-  MrTime next_trial_at;      /* not before */
-  MrTime next_hedge_at;      /* not before, while no part has been answered */
-  guint held_parts;          /* parts */
+  MrEvidence evidence_at_send; /* against its content, when its calls in flight were sent */
+  gboolean suspect;    /* a target has crashed under its content, which has not been answered */
+  gboolean crash_seen; /* a target has crashed under one of its own calls */
+  gboolean sequential; /* one call at a time until a part is answered */
+  gboolean staged;     /* one part is sent first, the others after its answer */
+  gboolean counted_as_trial; /* included in the trials of its content */
+  gboolean probation;        /* a single new trial of a quarantined content */
+  RequestPart *trial_part;   /* the part that is being sent as a trial */
+  MrTime cancel_at;          /* its calls in flight; MR_NEVER: not scheduled */
+  MrTime next_trial_at;      /* earliest time */
+  MrTime next_hedge_at;      /* earliest time, while no part is answered */
+  guint held_parts;          /* number of held parts */
   guint crash_checks;
-  gboolean may_have_run; /* a target may have begun on it */
+  gboolean may_have_run; /* a target may have started to run it */
   MrCause cause;         /* of the part that failed last */
   guint part_count;
-  guint open_parts;      /* parts not ended */
-  guint answered_parts;  /* parts with an answer */
-  guint needed_parts;    /* parts that an answer needs */
-  guint omittable_parts; /* parts that may still be left out for load */
+  guint open_parts; /* parts not ended */
+  guint answered_parts;
+  guint needed_parts;    /* answered parts that an answer requires */
+  guint omittable_parts; /* parts that may still be left out under load */
   RequestPart *parts;
   gpointer *answers;
-  GArray *sends; /* MrSendNote */
+  GArray *sends; /* MrSendRecord */
 };
 
 struct _MrRelay
@@ -198,208 +197,209 @@
   const MrRelayPolicy *policy;
   char *domain;
   GHashTable *regions;                /* failure domain -> region; may be NULL; borrowed */
-  MrResendBudgetConfig budget_config; /* that pools begin with */
+  MrResendBudgetConfig budget_config; /* initial settings of pools */
   MrRelayShares shares;
   MrColdRateLimit cold_limit;
   GRand *random;
-  GHashTable *pools;            /* name -> Pool */
-  GHashTable *groups;           /* name -> Service */
-  GHashTable *route_stats;      /* route name -> Kind */
-  GHashTable *splits;           /* route name -> Split */
-  GHashTable *targets;          /* id, or address (by_address) -> MrTargetState */
+  GHashTable *pools;            /* name -> BudgetPool */
+  GHashTable *groups;           /* name -> TargetGroup */
+  GHashTable *route_stats;      /* route name -> RouteStats */
+  GHashTable *splits;           /* route name -> SplitState */
+  GHashTable *targets;          /* id, or address with key_by_address -> MrTargetState */
   GHashTable *calls;            /* id -> Call */
-  GHashTable *requests;         /* set of MrRelayWork */
+  GHashTable *requests;         /* set of MrActiveRequest */
   GHashTable *evacuated;        /* set of failure domains; NULL: none */
-  GPtrArray *removed_targets;   /* MrTargetState of targets that are gone */
-  GHashTable *suspect_contents; /* MrFingerprint -> Content */
-  GPtrArray *crash_checks;      /* Doubt */
+  GPtrArray *removed_targets;   /* MrTargetState */
+  GHashTable *suspect_contents; /* MrFingerprint -> SuspectContent */
+  GPtrArray *crash_checks;      /* CrashCheck */
   MrRecentAnswers *recent_answers;
   CrashedTarget crashed_targets[CRASHED_TARGETS_KEPT];
-  guint crashed_count; /* ever */
-  MrTime staged_until; /* searches go to one shard first */
+  guint crashed_count; /* since the start */
+  MrTime staged_until; /* until then searches are sent to one shard first */
   MrTime unix_offset;
   MrTimers *timers;
-  MrResponseOverhead response_overhead; /* of answers that were due at their soft end */
-  MrTime next_health_check;             /* next look at the targets that are down */
+  MrResponseOverhead response_overhead; /* of answers sent at their soft deadline */
+  MrTime next_health_check;             /* of the targets that are down */
   gboolean any_target_down;
   guint64 last_call_id;
   MrRelayCounts counts;
 };
 
 TargetGroup *mr_relay_get_group (MrRelay *relay, const char *name);
-/* Frees the work with its answers; its calls have been let go. */
-void mr_active_request_free (MrRelay *relay, MrActiveRequest *work);
+/* Frees the request and its answers; its calls must have been abandoned. */
+void mr_active_request_free (MrRelay *relay, MrActiveRequest *request);
 void mr_relay_split_free (gpointer split);
 
-/* What an answer says of its kind of request and its target, and what the end of
- * a call says of its target. */
-void mr_relay_record_latency (RouteStats *kind, MrTargetState *target, MrTime latency);
+/* Update the route's statistics, and the target's latency and health, from the end of a call. */
+void mr_relay_record_latency (RouteStats *stats, MrTargetState *target, MrTime latency);
 MrHealthAction mr_relay_record_outcome (
     MrRelay *relay, MrTime now, MrTargetState *target, MrCallOutcome outcome, MrTime started);
 
 gboolean mr_relay_is_evacuated (const MrRelay *relay, const char *domain);
 
-/* Targets that end while requests run there (relay_crash_check.c). */
+/* Checks whether the target of a broken call has crashed (relay_crash_check.c). */
 
-/* The connection of a call of @fingerprint to @target has broken; its health has been
- * told. */
+/* A call of @fingerprint to @target broke; the target's health must have been updated. */
 void mr_relay_record_broken_call (MrRelay *relay,
                                   MrTime now,
                                   MrTargetState *target,
                                   MrFingerprint fingerprint);
-/* Whether @target still accepts connections has turned out. */
+/* A probe has shown whether @target still accepts connections. */
 void mr_relay_record_probe (MrRelay *relay, MrTime now, MrTargetState *target, gboolean answered);
-/* A call of the job has broken: the job waits until it is known whether @target has
- * ended, if that may be. */
+/* A call of the part broke.  If @target may have crashed, the part waits for the result of a check.
+ */
 void
-mr_relay_begin_crash_check (MrRelay *relay, MrTime now, RequestPart *job, MrTargetState *target);
-void mr_relay_crash_check_due (MrRelay *relay, MrTime now, CrashCheck *doubt);
-/* When a target ended last on which no call of @fingerprint was; 0: not lately. */
+mr_relay_begin_crash_check (MrRelay *relay, MrTime now, RequestPart *part, MrTargetState *target);
+void mr_relay_crash_check_due (MrRelay *relay, MrTime now, CrashCheck *check);
+/* Time of the latest crash of a target that had no call of @fingerprint in flight; 0: none
+ * recently. */
 MrTime mr_relay_last_unrelated_crash (const MrRelay *relay, MrFingerprint fingerprint);
-/* What is still being found out of the request's calls counts without it, unless it was
- * answered. */
-void mr_relay_detach_crash_checks (MrRelay *relay, MrActiveRequest *work);
+/* The request is finished.  Its pending checks go on without it, unless it was answered. */
+void mr_relay_detach_crash_checks (MrRelay *relay, MrActiveRequest *request);
 
-/* Contents that end their targets (relay_quarantine.c). */
+/* Request contents that crash their targets (relay_quarantine.c). */
 
 SuspectContent *mr_relay_get_suspect_content (MrRelay *relay, MrFingerprint fingerprint);
 guint32 mr_relay_unix_time (const MrRelay *relay, MrTime now);
-/* A target has ended under the call that @doubt is of. */
-void mr_relay_add_evidence (MrRelay *relay, MrTime now, const CrashCheck *doubt);
-/* A target has answered @fingerprint: what was known against it is void. */
+/* The target of the call that @check is about has crashed. */
+void mr_relay_add_evidence (MrRelay *relay, MrTime now, const CrashCheck *check);
+/* A target has answered @fingerprint, which voids the evidence against it. */
 void mr_relay_content_answered (MrRelay *relay, MrTime now, MrFingerprint fingerprint);
-/* Whether the request's content may be sent, and how. */
-MrCause mr_relay_admit_content (MrRelay *relay, MrTime now, MrActiveRequest *work);
-/* The request has its verdict, or its caller has gone. */
-void mr_relay_detach_content (MrRelay *relay, MrActiveRequest *work);
+/* Decides whether and how the request may be sent, given the evidence against its content. */
+MrCause mr_relay_admit_content (MrRelay *relay, MrTime now, MrActiveRequest *request);
+/* The request is finished, or its caller has gone. */
+void mr_relay_detach_content (MrRelay *relay, MrActiveRequest *request);
 
-/* Searches that go to one shard first (relay_stage.c). */
+/* Searches that are sent to one shard first (relay_stage.c). */
 
-/* @content ends its targets. */
+/* @content has been found to crash its targets. */
 void mr_relay_content_quarantined (MrRelay *relay, MrTime now, const SuspectContent *content);
-gboolean mr_relay_is_staged (const MrRelay *relay, MrTime now, const MrActiveRequest *work);
-/* Sends the first part of the request, which may end with it, and holds the others. */
-void mr_relay_begin_first_stage (MrRelay *relay, MrTime now, MrActiveRequest *work);
-/* The first part has ended: the others go out, unless its target has ended as well. */
-void mr_relay_end_first_stage (MrRelay *relay, MrTime now, MrActiveRequest *work);
+gboolean mr_relay_is_staged (const MrRelay *relay, MrTime now, const MrActiveRequest *request);
+/* Sends the first part of the request and holds the others.  The request may be finished by this.
+ */
+void mr_relay_begin_first_stage (MrRelay *relay, MrTime now, MrActiveRequest *request);
+/* The first part has ended: sends the others, unless the request is suspicious. */
+void mr_relay_end_first_stage (MrRelay *relay, MrTime now, MrActiveRequest *request);
 
-/* Parts that wait, and go out one by one (relay_trial.c). */
+/* Held parts, and requests that are sent one call at a time (relay_trial.c). */
 
-/* Another trial of the same content has its result within this; what it says is awaited
- * rather than a second target risked. */
+/* Time within which a concurrent trial of the same content gives its result; a request waits for
+ * that instead of risking a second target. */
 #define MR_TRIAL_INTERVAL (150 * MR_MS)
 
-/* A call of the job has ended without an answer and nothing is out for it: sends it
- * again, or holds it. */
-void mr_relay_retry_or_hold (MrRelay *relay, MrTime now, RequestPart *job);
-/* TRUE while only one call of the request may be in flight that puts a target at risk. */
-gboolean mr_relay_is_suspicious (const MrActiveRequest *work);
-void mr_relay_hold_part (RequestPart *job);
-/* The held part whose shard can best do without one more target; held no longer.  There has
- * to be one. */
-RequestPart *mr_relay_take_held_part (const MrActiveRequest *work, MrTime now);
-/* The parts in the order in which targets of their shards are put at risk. */
-RequestPart *mr_relay_nth_part_by_risk (const MrActiveRequest *work, guint n);
-/* When the next part of a request that goes one by one is due; MR_NEVER: nothing is. */
-MrTime mr_relay_next_trial_time (const MrRelay *relay, const MrActiveRequest *work);
-void mr_relay_begin_trial (MrRelay *relay, MrTime now, MrActiveRequest *work);
-/* From now on one call of the request at a time; those in flight are cancelled once an answer
- * is overdue. */
-void mr_relay_make_sequential (MrRelay *relay, MrTime now, MrActiveRequest *work);
-/* Cancels the calls in flight. */
-void mr_relay_cancel_calls (MrRelay *relay, MrTime now, MrActiveRequest *work);
-/* Its content is cleared: what is held goes out. */
-void mr_relay_release_held_parts (MrRelay *relay, MrTime now, MrActiveRequest *work);
-void mr_relay_give_up (MrRelay *relay, MrTime now, MrActiveRequest *work, MrCause cause);
-/* TRUE if it is another daemon's turn to try the content. */
+/* A call of the part ended without an answer and no other is in flight: sends the part again, or
+ * holds it. */
+void mr_relay_retry_or_hold (MrRelay *relay, MrTime now, RequestPart *part);
+/* TRUE if the request may have only one call in flight, because each puts a target at risk. */
+gboolean mr_relay_is_suspicious (const MrActiveRequest *request);
+void mr_relay_hold_part (RequestPart *part);
+/* Takes the held part whose group has the most usable targets.  At least one part must be held. */
+RequestPart *mr_relay_take_held_part (const MrActiveRequest *request, MrTime now);
+/* The parts in the order in which they are used for trials and first hedges. */
+RequestPart *mr_relay_nth_part_by_risk (const MrActiveRequest *request, guint n);
+/* When the next part of a request with held parts is to be sent; MR_NEVER: none. */
+MrTime mr_relay_next_trial_time (const MrRelay *relay, const MrActiveRequest *request);
+void mr_relay_begin_trial (MrRelay *relay, MrTime now, MrActiveRequest *request);
+/* Restricts the request to one call at a time.  Its calls in flight are cancelled once an answer is
+ * overdue. */
+void mr_relay_make_sequential (MrRelay *relay, MrTime now, MrActiveRequest *request);
+/* Cancels the calls in flight and holds their parts. */
+void mr_relay_cancel_calls (MrRelay *relay, MrTime now, MrActiveRequest *request);
+/* Ends the restriction to one call at a time and sends the held parts. */
+void mr_relay_release_held_parts (MrRelay *relay, MrTime now, MrActiveRequest *request);
+void mr_relay_give_up (MrRelay *relay, MrTime now, MrActiveRequest *request, MrCause cause);
+/* TRUE if another daemon is to try the content. */
 gboolean mr_relay_is_other_daemons_turn (MrRelay *relay, const SuspectContent *content);
-/* Closes or cancels what is out for the job. */
-void mr_relay_cancel_part_calls (MrRelay *relay, MrTime now, RequestPart *job);
-
-/* Choice of a target (relay_choice.c): functions of what is known, without effect on
- * it. */
-
-/* Best target that the job may be sent to now; NULL if there is none.  @hope is set if
- * one may have room later. */
-MrTargetState *
-mr_relay_choose_target (MrRelay *relay, MrTime now, const RequestPart *job, gboolean *hope);
-/* Why no target of the service may be given work, now or soon. */
-MrCause mr_relay_no_target_cause (const TargetGroup *service);
-/* TRUE if the job may go to @target once that is usable and has room. */
+/* Closes or cancels the part's calls in flight. */
+void mr_relay_cancel_part_calls (MrRelay *relay, MrTime now, RequestPart *part);
+
+/* Choice of a target (relay_choice.c): reads the state of targets without changing it. */
+
+/* Best target for the part now; NULL if there is none.  Sets @any_eligible if there is a target
+ * that the part may be sent to now or later. */
+MrTargetState *mr_relay_choose_target (MrRelay *relay,
+                                       MrTime now,
+                                       const RequestPart *part,
+                                       gboolean *any_eligible);
+/* Why the group has no target that can get calls now or soon. */
+MrCause mr_relay_no_target_cause (const TargetGroup *group);
+/* TRUE if the part may be sent to @target once that is usable and has room. */
 gboolean mr_relay_may_send_to (const MrRelay *relay,
                                MrTime now,
-                               const RequestPart *job,
+                               const RequestPart *part,
                                const MrTargetState *target);
-/* TRUE if @target's oldest call has gone unanswered for much longer than usual. */
+/* TRUE if @target's oldest call has been unanswered for much longer than usual. */
 gboolean mr_relay_is_stalled (const MrTargetState *target, MrTime now);
-/* TRUE if the bound on targets leaves one that the job may still be sent to. */
-gboolean mr_relay_has_attempts_left (const RequestPart *job);
+/* TRUE if the attempt limit allows another send of the part. */
+gboolean mr_relay_has_attempts_left (const RequestPart *part);
 
-/* What the job has tried: a call is sent, a call has ended. */
-void mr_relay_record_send (RequestPart *job, const MrTargetState *target);
-void mr_relay_record_attempt (RequestPart *job, const MrTargetState *target, MrCallOutcome outcome);
+/* Update the part's attempts after a send, and after the end of a call. */
+void mr_relay_record_send (RequestPart *part, const MrTargetState *target);
+void
+mr_relay_record_attempt (RequestPart *part, const MrTargetState *target, MrCallOutcome outcome);
 
-/* The target may be cold, though nothing has said so. */
+/* Marks the target as cold after a restart or an evacuation, without a report that it is. */
 void mr_relay_assume_cold (MrTargetState *target, MrTime now);
-/* Carries out what a target's health asks for. */
+/* Carries out the action that the target's health requires, and sends queued parts. */
 void mr_relay_apply_health_action (MrRelay *relay,
                                    MrTime now,
                                    MrTargetState *target,
                                    MrHealthAction action);
 
-/* Sends the job for the first time, or leaves it out.  Returns FALSE if the work has ended
- * with it. */
-gboolean mr_relay_begin_part (MrRelay *relay, MrTime now, RequestPart *job);
+/* Sends the part for the first time, or leaves it out.  Returns FALSE if this has finished the
+ * request. */
+gboolean mr_relay_begin_part (MrRelay *relay, MrTime now, RequestPart *part);
 
-/* Sends the job to its best target, queues it, or ends it without an answer.
- * Returns FALSE if the work has ended with it. */
-gboolean mr_relay_send_or_queue (MrRelay *relay, MrTime now, RequestPart *job, MrSendReason reason);
+/* Sends the part to its best target, queues it, or ends it without an answer.  Returns FALSE if
+ * this has finished the request. */
+gboolean
+mr_relay_send_or_queue (MrRelay *relay, MrTime now, RequestPart *part, MrSendReason reason);
 
-/* TRUE if the part is better left out: its targets are so loaded that it would
- * come too late, and the answer is good enough without it. */
-gboolean mr_relay_leave_out (MrRelay *relay, MrTime now, RequestPart *job);
+/* TRUE if the part is to be left out: its targets are so loaded that its answer would be late, and
+ * the request can be answered without it. */
+gboolean mr_relay_leave_out (MrRelay *relay, MrTime now, RequestPart *part);
 
-double mr_relay_part_load (const RequestPart *job, MrTime now);
+double mr_relay_part_load (const RequestPart *part, MrTime now);
 
-/* TRUE if every usable target of the job's service has all that it may have from
- * here in flight: it is slow for its load, and fewer calls would help. */
-gboolean mr_relay_part_is_saturated (const RequestPart *job, MrTime now);
+/* TRUE if every usable target of the part's group has reached this daemon's limit of calls, so that
+ * sending fewer calls would help. */
+gboolean mr_relay_part_is_saturated (const RequestPart *part, MrTime now);
 
-/* Time until a job that is queued now gets room, from the queue before it. */
-MrTime mr_relay_expected_wait (const RequestPart *job, MrTime now);
+/* Queueing delay of a part that is queued now. */
+MrTime mr_relay_expected_wait (const RequestPart *part, MrTime now);
 
-/* A hedge beside the call that is under way; FALSE if none may go out now. */
-gboolean mr_relay_hedge (MrRelay *relay, MrTime now, RequestPart *job);
+/* Sends a hedge beside the part's call in flight; FALSE if none is possible now. */
+gboolean mr_relay_hedge (MrRelay *relay, MrTime now, RequestPart *part);
 
-/* Gives room at the service's targets to the jobs that wait; ends those that no
- * target can serve any more. */
-void mr_relay_send_queued (MrRelay *relay, MrTime now, TargetGroup *service);
-/* Gives room at @target to the jobs that wait for it, in whatever set. */
+/* Sends parts of the group's queue to targets with room; ends those that no target can serve any
+ * more. */
+void mr_relay_send_queued (MrRelay *relay, MrTime now, TargetGroup *group);
+/* Sends queued parts of any of @target's groups to @target while it has room. */
 void mr_relay_send_queued_to (MrRelay *relay, MrTime now, MrTargetState *target);
-void mr_relay_dequeue (RequestPart *job);
+void mr_relay_dequeue (RequestPart *part);
+
+/* Sets the limits of the group's targets from this daemon's share of their connections. */
+void
+mr_relay_update_limits (const MrRelay *relay, const MrActiveRequest *request, TargetGroup *group);
+
+/* Number of usable targets of the group; sets @room to the calls that they accept together. */
+guint mr_relay_group_capacity (const TargetGroup *group, MrTime now, double *room);
 
-/* Sets the limits of the service's targets to this daemon's share of their
- * connections. */
+guint mr_relay_part_call_count (const RequestPart *part);
+/* TRUE if a call of any part is in flight. */
+gboolean mr_relay_has_calls (const MrActiveRequest *request);
+/* Abandons the part's calls; they may go on until @until. */
+void mr_relay_abandon_calls (MrRelay *relay, MrTime now, RequestPart *part, MrTime until);
+void mr_relay_finish_part (MrRelay *relay, MrTime now, RequestPart *part, MrCause cause);
 void
-mr_relay_update_limits (const MrRelay *relay, const MrActiveRequest *work, TargetGroup *service);
-
-/* Usable targets of the service, and calls they have room for together. */
-guint mr_relay_group_capacity (const TargetGroup *service, MrTime now, double *room);
-
-guint mr_relay_part_call_count (const RequestPart *job);
-/* TRUE if a call of any part is out. */
-gboolean mr_relay_has_calls (const MrActiveRequest *work);
-/* The job's calls are not wanted any more; they may run out until @until. */
-void mr_relay_abandon_calls (MrRelay *relay, MrTime now, RequestPart *job, MrTime until);
-void mr_relay_finish_part (MrRelay *relay, MrTime now, RequestPart *job, MrCause cause);
-void mr_relay_finish_request (MrRelay *relay, MrTime now, MrActiveRequest *work, MrVerdict verdict);
-void mr_relay_schedule (MrRelay *relay, MrActiveRequest *work);
+mr_relay_finish_request (MrRelay *relay, MrTime now, MrActiveRequest *request, MrVerdict verdict);
+void mr_relay_schedule (MrRelay *relay, MrActiveRequest *request);
 void mr_relay_call_free (MrRelay *relay, Call *call);
 
-/* FALSE while too few calls have been answered: its measures are guesses. */
-gboolean mr_relay_stats_are_reliable (const RouteStats *kind);
-/* Reads the kind's measures anew. */
-void mr_relay_update_stats (RouteStats *kind);
-/* Until when a call that nobody wants from now on may run out. */
+/* FALSE while too few calls were answered for the statistics to be used. */
+gboolean mr_relay_stats_are_reliable (const RouteStats *stats);
+/* Recomputes the quantiles of the statistics. */
+void mr_relay_update_stats (RouteStats *stats);
+/* Until when a call that is abandoned now may go on. */
 MrTime mr_relay_linger_until (const MrRelay *relay, MrTime now);
-MrTime mr_relay_silence_timeout (const RouteStats *kind);
+MrTime mr_relay_silence_timeout (const RouteStats *stats);
--- a/src/relay_send.c
+++ b/src/relay_send.c
@@ -1,53 +1,53 @@
 #include "relay_private.h"
 
 static Call **
-S_free_place (RequestPart *job)
+S_free_call_slot (RequestPart *part)
 {
   for (guint i = 0; i < PART_CALLS_MAX; i++)
-    if (!job->calls[i])
-      return &job->calls[i];
+    if (!part->calls[i])
+      return &part->calls[i];
   return NULL;
 }
 
 static guint
-S_note (MrActiveRequest *work,
-        const RequestPart *job,
-        MrTime now,
-        const MrTargetState *target,
-        MrSendReason reason)
+S_add_send_record (MrActiveRequest *request,
+                   const RequestPart *part,
+                   MrTime now,
+                   const MrTargetState *target,
+                   MrSendReason reason)
 {
-  MrSendRecord note = {
-    .part_index = job->index,
+  MrSendRecord record = {
+    .part_index = part->index,
     .reason = reason,
-    .sent_after = now - work->arrived,
+    .sent_after = now - request->arrived,
     .last_response_age =
         target->health.last_response_at > 0 ? now - target->health.last_response_at : -1,
   };
-  g_strlcpy (note.target, target->id, sizeof note.target);
-  g_array_append_val (work->sends, note);
-  return work->sends->len - 1;
+  g_strlcpy (record.target, target->id, sizeof record.target);
+  g_array_append_val (request->sends, record);
+  return request->sends->len - 1;
 }
 
 static void
-S_start (MrRelay *relay, MrTime now, RequestPart *job, MrTargetState *target, MrSendReason reason)
+S_send (MrRelay *relay, MrTime now, RequestPart *part, MrTargetState *target, MrSendReason reason)
 {
-  MrActiveRequest *work = job->request;
+  MrActiveRequest *request = part->request;
   Call *call = g_new0 (Call, 1);
   *call = (Call){
     .owner_kind = TIMER_CALL,
     .id = ++relay->last_call_id,
-    .part = job,
+    .part = part,
     .target = target,
-    .stats = work->stats,
+    .stats = request->stats,
     .started = now,
-    .send_index = S_note (work, job, now, target, reason),
-    .fingerprint = work->fingerprint,
+    .send_index = S_add_send_record (request, part, now, target, reason),
+    .fingerprint = request->fingerprint,
   };
   call->timer.owner = call;
   call->target_link.data = call;
-  *S_free_place (job) = call;
-  mr_relay_record_send (job, target);
-  job->send_count++;
+  *S_free_call_slot (part) = call;
+  mr_relay_record_send (part, target);
+  part->send_count++;
   g_queue_push_tail_link (&target->open_calls, &call->target_link);
   target->in_flight++;
   target->calls++;
@@ -59,41 +59,41 @@
     relay->counts.hedges++;
   else if (reason == MR_SEND_RETRY)
     relay->counts.retries++;
-  job->hedge_at = work->route->idempotent ? now + work->stats->hedge_delay : MR_NEVER;
-  mr_timers_set (relay->timers, &call->timer, now + mr_relay_silence_timeout (work->stats));
-  mr_relay_schedule (relay, work);
-  MrRelayCall out = {
+  part->hedge_at = request->route->idempotent ? now + request->stats->hedge_delay : MR_NEVER;
+  mr_timers_set (relay->timers, &call->timer, now + mr_relay_silence_timeout (request->stats));
+  mr_relay_schedule (relay, request);
+  MrRelayCall relay_call = {
     .id = call->id,
     .target = target,
-    .host_request = work->host_request,
-    .part_index = job->index,
-    .deadline = MIN (work->deadline, work->hard_end),
-    .idempotent = work->route->idempotent,
+    .host_request = request->host_request,
+    .part_index = part->index,
+    .deadline = MIN (request->deadline, request->hard_deadline),
+    .idempotent = request->route->idempotent,
   };
-  relay->host->send_call (relay->host, &out);
+  relay->host->send_call (relay->host, &relay_call);
 }
 
 static gboolean
-S_goes_before (const MrRelay *relay, const RequestPart *a, const RequestPart *b)
+S_precedes (const MrRelay *relay, const RequestPart *a, const RequestPart *b)
 {
   const MrTime *lag = relay->policy->rank_lag;
-  guint a_rank = a->request->route->priority;
-  guint b_rank = b->request->route->priority;
+  guint a_priority = a->request->route->priority;
+  guint b_priority = b->request->route->priority;
   if (lag)
-    return a->request->arrived + lag[a_rank] < b->request->arrived + lag[b_rank];
-  if (a_rank != b_rank)
-    return a_rank < b_rank;
+    return a->request->arrived + lag[a_priority] < b->request->arrived + lag[b_priority];
+  if (a_priority != b_priority)
+    return a_priority < b_priority;
   return a->request->arrived < b->request->arrived;
 }
 
 static guint *
-S_waiting (const RequestPart *job)
+S_queued_count (const RequestPart *part)
 {
-  return &job->group->pool->queued[MIN (job->request->route->priority, MR_PRIORITIES - 1U)];
+  return &part->group->pool->queued[MIN (part->request->route->priority, MR_PRIORITIES - 1U)];
 }
 
 static gboolean
-S_nobody_waits (const BudgetPool *pool)
+S_pool_queues_are_empty (const BudgetPool *pool)
 {
   for (guint i = 0; i < MR_PRIORITIES; i++)
     if (pool->queued[i] > 0)
@@ -102,47 +102,47 @@
 }
 
 static void
-S_queue (const MrRelay *relay, RequestPart *job, MrSendReason reason)
+S_enqueue (const MrRelay *relay, RequestPart *part, MrSendReason reason)
 {
-  GQueue *queue = &job->group->queue;
+  GQueue *queue = &part->group->queue;
   GList *after = queue->tail;
-  while (after && S_goes_before (relay, job, after->data))
+  while (after && S_precedes (relay, part, after->data))
     after = after->prev;
-  job->queue_link = (GList){ .data = job };
-  job->queued = TRUE;
-  job->send_reason = reason;
-  (*S_waiting (job))++;
+  part->queue_link = (GList){ .data = part };
+  part->queued = TRUE;
+  part->send_reason = reason;
+  (*S_queued_count (part))++;
   if (after)
-    g_queue_insert_after_link (queue, after, &job->queue_link);
+    g_queue_insert_after_link (queue, after, &part->queue_link);
   else
-    g_queue_push_head_link (queue, &job->queue_link);
+    g_queue_push_head_link (queue, &part->queue_link);
 }
 
 void
-mr_relay_dequeue (RequestPart *job)
+mr_relay_dequeue (RequestPart *part)
 {
-  if (!job->queued)
+  if (!part->queued)
     return;
-  job->queued = FALSE;
-  (*S_waiting (job))--;
-  g_queue_unlink (&job->group->queue, &job->queue_link);
+  part->queued = FALSE;
+  (*S_queued_count (part))--;
+  g_queue_unlink (&part->group->queue, &part->queue_link);
 }
 
-/* FALSE if another send may not go out. */
+/* FALSE, with the cause, if the part may not be sent again. */
 static gboolean
-S_may_send (MrRelay *relay, MrTime now, RequestPart *job, MrSendReason reason, MrCause *cause)
+S_may_send (MrRelay *relay, MrTime now, RequestPart *part, MrSendReason reason, MrCause *cause)
 {
   if (reason == MR_SEND_FIRST)
     return TRUE;
-  if (!mr_relay_has_attempts_left (job))
+  if (!mr_relay_has_attempts_left (part))
     {
       *cause = MR_CAUSE_ATTEMPTS;
       return FALSE;
     }
-  /* What never left costs the targets nothing. */
-  if (job->send_count == 0)
+  /* A call that was never sent has not loaded any target. */
+  if (part->send_count == 0)
     return TRUE;
-  BudgetPool *pool = job->group->pool;
+  BudgetPool *pool = part->group->pool;
   double share = reason == MR_SEND_HEDGE ? relay->policy->hedge_budget_share : 1;
   if (mr_resend_budget_try_spend (&pool->budget, &pool->terms, now, share))
     return TRUE;
@@ -152,89 +152,89 @@
 }
 
 gboolean
-mr_relay_send_or_queue (MrRelay *relay, MrTime now, RequestPart *job, MrSendReason reason)
+mr_relay_send_or_queue (MrRelay *relay, MrTime now, RequestPart *part, MrSendReason reason)
 {
-  MrActiveRequest *work = job->request;
+  MrActiveRequest *request = part->request;
   MrCause cause = MR_CAUSE_NONE;
-  gboolean hope = FALSE;
-  MrTargetState *target = mr_relay_choose_target (relay, now, job, &hope);
-  if (!hope)
-    cause = job->attempt_count > 0 ? MR_CAUSE_ATTEMPTS : mr_relay_no_target_cause (job->group);
-  else if (S_may_send (relay, now, job, reason, &cause))
+  gboolean any_eligible = FALSE;
+  MrTargetState *target = mr_relay_choose_target (relay, now, part, &any_eligible);
+  if (!any_eligible)
+    cause = part->attempt_count > 0 ? MR_CAUSE_ATTEMPTS : mr_relay_no_target_cause (part->group);
+  else if (S_may_send (relay, now, part, reason, &cause))
     {
       if (target)
-        S_start (relay, now, job, target, reason);
+        S_send (relay, now, part, target, reason);
       else
-        S_queue (relay, job, reason);
+        S_enqueue (relay, part, reason);
       return TRUE;
     }
-  if (mr_relay_part_call_count (job) > 0)
-    return TRUE; /* the call that is still out may answer */
-  gboolean last = work->open_parts == 1;
-  mr_relay_finish_part (relay, now, job, cause);
-  return !last && g_hash_table_contains (relay->requests, work);
+  if (mr_relay_part_call_count (part) > 0)
+    return TRUE; /* the call in flight may still answer */
+  gboolean last = request->open_parts == 1;
+  mr_relay_finish_part (relay, now, part, cause);
+  return !last && g_hash_table_contains (relay->requests, request);
 }
 
 static gboolean
-S_is_loaded (const RouteStats *kind)
+S_targets_are_loaded (const RouteStats *stats)
 {
-  double loaded = kind->policy->loaded_ratio;
-  return loaded > 0 && kind->median > loaded * kind->lowest_median;
+  double loaded = stats->policy->loaded_ratio;
+  return loaded > 0 && stats->median > loaded * stats->lowest_median;
 }
 
 static gboolean
-S_has_spare_room (const MrTargetState *target)
+S_has_half_free (const MrTargetState *target)
 {
   return target->in_flight * 2 < mr_concurrency_limit_calls (&target->limit);
 }
 
 gboolean
-mr_relay_hedge (MrRelay *relay, MrTime now, RequestPart *job)
+mr_relay_hedge (MrRelay *relay, MrTime now, RequestPart *part)
 {
   MrCause cause = MR_CAUSE_NONE;
-  gboolean hope = FALSE;
-  /* With others waiting for room a hedge would take the place of a first call. */
-  if (!S_free_place (job) || !S_nobody_waits (job->group->pool))
+  gboolean any_eligible = FALSE;
+  /* While parts are queued, a hedge would take a slot from a first call. */
+  if (!S_free_call_slot (part) || !S_pool_queues_are_empty (part->group->pool))
     return FALSE;
-  MrTargetState *target = mr_relay_choose_target (relay, now, job, &hope);
+  MrTargetState *target = mr_relay_choose_target (relay, now, part, &any_eligible);
   if (!target || mr_relay_is_stalled (target, now) ||
-      (S_is_loaded (job->request->stats) && !S_has_spare_room (target)) ||
-      !S_may_send (relay, now, job, MR_SEND_HEDGE, &cause))
+      (S_targets_are_loaded (part->request->stats) && !S_has_half_free (target)) ||
+      !S_may_send (relay, now, part, MR_SEND_HEDGE, &cause))
     return FALSE;
-  S_start (relay, now, job, target, MR_SEND_HEDGE);
+  S_send (relay, now, part, target, MR_SEND_HEDGE);
   return TRUE;
 }
 
-/* TRUE if a call begun now has little chance to be back in time.  Its place goes
- * to another, and its caller hears at once rather than at the end of its time. */
+/* TRUE if a call sent now would probably be late.  Its slot goes to another part, and its caller is
+ * told now and not at its deadline. */
 static gboolean
-S_too_late (const RequestPart *job, MrTime now)
+S_is_too_late (const RequestPart *part, MrTime now)
 {
-  return now + (MrTime) (job->request->stats->mean / 2) >= job->request->hard_end;
+  return now + (MrTime) (part->request->stats->mean / 2) >= part->request->hard_deadline;
 }
 
-/* Sends a job that has waited, or gives it up. */
+/* Sends a part from the queue, or ends it if it is too late. */
 static void
-S_begin_waiting (MrRelay *relay, MrTime now, RequestPart *job, MrTargetState *target)
+S_send_dequeued (MrRelay *relay, MrTime now, RequestPart *part, MrTargetState *target)
 {
-  mr_relay_dequeue (job);
-  if (S_too_late (job, now))
+  mr_relay_dequeue (part);
+  if (S_is_too_late (part, now))
     {
       relay->counts.expired++;
-      mr_relay_finish_part (relay, now, job, MR_CAUSE_TIME);
+      mr_relay_finish_part (relay, now, part, MR_CAUSE_TIME);
     }
   else
-    S_start (relay, now, job, target, job->send_reason);
+    S_send (relay, now, part, target, part->send_reason);
 }
 
-/* First job in the set's queue that may go to @target. */
+/* First part in the group's queue that may be sent to @target. */
 static RequestPart *
-S_first_for (const MrRelay *relay,
-             MrTime now,
-             const TargetGroup *service,
-             const MrTargetState *target)
+S_first_queued_for (const MrRelay *relay,
+                    MrTime now,
+                    const TargetGroup *group,
+                    const MrTargetState *target)
 {
-  for (GList *link = service->queue.head; link; link = link->next)
+  for (GList *link = group->queue.head; link; link = link->next)
     if (mr_relay_may_send_to (relay, now, link->data, target))
       return link->data;
   return NULL;
@@ -248,32 +248,33 @@
       RequestPart *next = NULL;
       for (guint i = 0; i < target->sets->len; i++)
         {
-          RequestPart *job = S_first_for (relay, now, g_ptr_array_index (target->sets, i), target);
-          if (job && (!next || S_goes_before (relay, job, next)))
-            next = job;
+          RequestPart *part =
+              S_first_queued_for (relay, now, g_ptr_array_index (target->sets, i), target);
+          if (part && (!next || S_precedes (relay, part, next)))
+            next = part;
         }
       if (!next)
         return;
-      S_begin_waiting (relay, now, next, target);
+      S_send_dequeued (relay, now, next, target);
     }
 }
 
 void
-mr_relay_send_queued (MrRelay *relay, MrTime now, TargetGroup *service)
+mr_relay_send_queued (MrRelay *relay, MrTime now, TargetGroup *group)
 {
-  while (service && !g_queue_is_empty (&service->queue))
+  while (group && !g_queue_is_empty (&group->queue))
     {
-      RequestPart *job = g_queue_peek_head (&service->queue);
-      gboolean hope = FALSE;
-      MrTargetState *target = mr_relay_choose_target (relay, now, job, &hope);
-      if (!target && hope)
-        return; /* no room for this one, nor for those behind it */
+      RequestPart *part = g_queue_peek_head (&group->queue);
+      gboolean any_eligible = FALSE;
+      MrTargetState *target = mr_relay_choose_target (relay, now, part, &any_eligible);
+      if (!target && any_eligible)
+        return; /* no room for this part, nor for those behind it */
       if (target)
         {
-          S_begin_waiting (relay, now, job, target);
+          S_send_dequeued (relay, now, part, target);
           continue;
         }
-      mr_relay_dequeue (job);
-      mr_relay_finish_part (relay, now, job, mr_relay_no_target_cause (service));
+      mr_relay_dequeue (part);
+      mr_relay_finish_part (relay, now, part, mr_relay_no_target_cause (group));
     }
 }
--- a/src/relay_timers.c
+++ b/src/relay_timers.c
@@ -2,75 +2,76 @@
 
 enum
 {
-  SAMPLES_MIN = 30, /* under this the quantile is not used */
+  SAMPLES_MIN = 30, /* answers below which the quantiles are not used */
 };
 
 const MrRelayPolicy mr_relay_policy = {
-  /* With a budget of one hedge or retry in five requests, the slowest tenth can be
-   * sent again and half of the budget is left for failures. */
+  /* With a budget of one resend in five requests, about the slowest tenth of the calls can be
+   * hedged and half of the budget is left for failures. */
   .hedge_quantile = 0.92,
   .initial_hedge_fraction = 0.25,
   .min_hedge_delay = 4 * MR_MS,
-  /* What is left repairs calls that failed. */
+  /* The rest is kept for calls that failed. */
   .hedge_budget_share = 0.75,
   .initial_mean_fraction = 0.2,
-  /* Or hedges make loaded targets slower.  Three times the usual load, on the
-   * virtual clock: 0.89 and 0.69 of the worth of the two kinds without it, 0.90 and
-   * 0.71 with it, 0.91 and 0.75 without any hedge or retry; on a calm day or with a
-   * few slow targets nothing changes (0.01 to 0.03 less if it held always). */
+  /* Prevents hedges from making loaded targets slower.  At three times the usual load, on the
+   * virtual clock, the two kinds of requests reach 0.89 and 0.69 of their utility without this
+   * rule, 0.90 and 0.71 with it, and 0.91 and 0.75 without any hedges or retries.  At normal load
+   * or with a few slow targets it makes no difference, while applying it always would cost 0.01 to
+   * 0.03. */
   .loaded_ratio = 1.2,
-  /* A searcher's ordinary pause (250 ms) is not a reason to close its
-   * connections. */
+  /* An ordinary pause of a searcher (250 ms) must not close its connections. */
   .silence_timeout_factor = 8,
   .silence_timeout_min = 700 * MR_MS,
   .silence_timeout_max = 4 * MR_SECOND,
-  /* Letting a call run out spares a new connection (6 ms of a searcher's slot). */
+  /* Letting a call run to its end saves a new connection (6 ms of a searcher's slot). */
   .linger = 400 * MR_MS,
-  /* The round trip is a few milliseconds longer and its bytes are paid for.  The
-   * near target is preferred up to two calls in flight, which halves the bytes at
-   * the same credit; at five it is overrun (credit 0.956 against 0.978 on a calm
-   * day of 71 VMs). */
+  /* A remote call takes a few milliseconds longer and its traffic is paid for.  With 2.5, the local
+   * target is preferred until it has two calls in flight, which halves the traffic at the same
+   * utility; with 5, local targets are overloaded (0.956 instead of 0.978 on an ordinary day
+   * of 71 VMs). */
   .cross_domain_cost = 2.5,
   .max_sends_per_target = 2,
 };
 
-/* A hedge that found no target is tried again after this. */
-static const MrTime HEDGE_AGAIN = 5 * MR_MS;
-/* Without an answer the next hedge of a request goes out when it is this many times
- * as old as at the last one. */
-static const int LONE_HEDGE_SPACING = 3;
-/* Requests remember the targets they tried; none lasts as long as this. */
-static const MrTime RETIRED_KEPT = 300 * MR_SECOND;
-/* Health of targets that are down is looked at this often. */
-static const MrTime HEALTH_GAP = 50 * MR_MS;
+/* Delay until the next try after a hedge that found no target. */
+static const MrTime HEDGE_RETRY_DELAY = 5 * MR_MS;
+/* While no part is answered, the next hedge of a request is sent when the request is this many
+ * times as old as at the last one. */
+static const int UNANSWERED_HEDGE_SPACING = 3;
+/* Parts keep pointers to the targets they tried; no request lasts this long. */
+static const MrTime REMOVED_TARGET_TTL = 300 * MR_SECOND;
+/* Interval of health checks of targets that are down. */
+static const MrTime HEALTH_CHECK_INTERVAL = 50 * MR_MS;
 
 gboolean
-mr_relay_stats_are_reliable (const RouteStats *kind)
+mr_relay_stats_are_reliable (const RouteStats *stats)
 {
-  return kind->latency.count >= SAMPLES_MIN;
+  return stats->latency.count >= SAMPLES_MIN;
 }
 
 void
-mr_relay_update_stats (RouteStats *kind)
+mr_relay_update_stats (RouteStats *stats)
 {
-  const MrHistogram *latency = &kind->latency;
-  kind->hedge_delay = (MrTime) (kind->policy->initial_hedge_fraction * (double) kind->latency_goal);
-  kind->median = kind->mean;
-  if (mr_relay_stats_are_reliable (kind))
+  const MrHistogram *latency = &stats->latency;
+  stats->hedge_delay =
+      (MrTime) (stats->policy->initial_hedge_fraction * (double) stats->latency_goal);
+  stats->median = stats->mean;
+  if (mr_relay_stats_are_reliable (stats))
     {
-      kind->hedge_delay = mr_histogram_quantile (latency, kind->hedge_quantile);
-      kind->median = (double) mr_histogram_quantile (latency, 0.5);
+      stats->hedge_delay = mr_histogram_quantile (latency, stats->hedge_quantile);
+      stats->median = (double) mr_histogram_quantile (latency, 0.5);
     }
-  if (kind->lowest_median == 0 || kind->median < kind->lowest_median)
-    kind->lowest_median = kind->median;
-  kind->hedge_delay = MAX (kind->hedge_delay, kind->policy->min_hedge_delay);
+  if (stats->lowest_median == 0 || stats->median < stats->lowest_median)
+    stats->lowest_median = stats->median;
+  stats->hedge_delay = MAX (stats->hedge_delay, stats->policy->min_hedge_delay);
 }
 
 MrTime
-mr_relay_silence_timeout (const RouteStats *kind)
+mr_relay_silence_timeout (const RouteStats *stats)
 {
-  const MrRelayPolicy *policy = kind->policy;
-  MrTime delay = (MrTime) (policy->silence_timeout_factor * kind->mean);
+  const MrRelayPolicy *policy = stats->policy;
+  MrTime delay = (MrTime) (policy->silence_timeout_factor * stats->mean);
   return CLAMP (delay, policy->silence_timeout_min, policy->silence_timeout_max);
 }
 
@@ -82,20 +83,20 @@
 }
 
 guint
-mr_relay_part_call_count (const RequestPart *job)
+mr_relay_part_call_count (const RequestPart *part)
 {
   guint count = 0;
   for (guint i = 0; i < PART_CALLS_MAX; i++)
-    if (job->calls[i])
+    if (part->calls[i])
       count++;
   return count;
 }
 
 gboolean
-mr_relay_has_calls (const MrActiveRequest *work)
+mr_relay_has_calls (const MrActiveRequest *request)
 {
-  for (guint i = 0; i < work->part_count; i++)
-    if (mr_relay_part_call_count (&work->parts[i]) > 0)
+  for (guint i = 0; i < request->part_count; i++)
+    if (mr_relay_part_call_count (&request->parts[i]) > 0)
       return TRUE;
   return FALSE;
 }
@@ -111,14 +112,14 @@
 }
 
 void
-mr_relay_abandon_calls (MrRelay *relay, MrTime now, RequestPart *job, MrTime until)
+mr_relay_abandon_calls (MrRelay *relay, MrTime now, RequestPart *part, MrTime until)
 {
   for (guint i = 0; i < PART_CALLS_MAX; i++)
     {
-      Call *call = job->calls[i];
+      Call *call = part->calls[i];
       if (!call)
         continue;
-      job->calls[i] = NULL;
+      part->calls[i] = NULL;
       call->part = NULL;
       if (relay->host->call_abandoned)
         relay->host->call_abandoned (relay->host, call->id);
@@ -132,77 +133,79 @@
     }
 }
 
-/* While no part has been answered the content itself may be what its targets fail under, so
- * hedges go one at a time: each puts one more target at risk.  One that is answered
- * lets the others go at once. */
+/* While no part is answered, the content itself may be what makes its targets fail, and each hedge
+ * puts one more target at risk: hedges are sent one at a time.  The first answer ends this
+ * restriction. */
 static MrTime
-S_hedge_due (const MrActiveRequest *work, const RequestPart *job)
+S_next_hedge_time (const MrActiveRequest *request, const RequestPart *part)
 {
-  if (job->ended || job->queued)
+  if (part->ended || part->queued)
     return MR_NEVER;
-  return work->answered_parts > 0 ? job->hedge_at : MAX (job->hedge_at, work->next_hedge_at);
+  return request->answered_parts > 0 ? part->hedge_at
+                                     : MAX (part->hedge_at, request->next_hedge_at);
 }
 
 void
-mr_relay_schedule (MrRelay *relay, MrActiveRequest *work)
+mr_relay_schedule (MrRelay *relay, MrActiveRequest *request)
 {
-  MrTime due = work->hard_end;
-  if (work->answered_parts >= work->needed_parts && work->soft_deadline < due)
-    due = work->soft_deadline;
-  due = MIN (due, work->cancel_at);
-  due = MIN (due, mr_relay_next_trial_time (relay, work));
-  for (guint i = 0; i < work->part_count && !mr_relay_is_suspicious (work); i++)
+  MrTime due = request->hard_deadline;
+  if (request->answered_parts >= request->needed_parts && request->soft_deadline < due)
+    due = request->soft_deadline;
+  due = MIN (due, request->cancel_at);
+  due = MIN (due, mr_relay_next_trial_time (relay, request));
+  for (guint i = 0; i < request->part_count && !mr_relay_is_suspicious (request); i++)
     {
-      const RequestPart *job = &work->parts[i];
-      MrTime hedge_due = S_hedge_due (work, job);
-      if (hedge_due < due && mr_relay_has_attempts_left (job))
+      const RequestPart *part = &request->parts[i];
+      MrTime hedge_due = S_next_hedge_time (request, part);
+      if (hedge_due < due && mr_relay_has_attempts_left (part))
         due = hedge_due;
     }
-  mr_timers_set (relay->timers, &work->timer, due);
+  mr_timers_set (relay->timers, &request->timer, due);
 }
 
 static void
-S_check_work (MrRelay *relay, MrTime now, MrActiveRequest *work)
+S_on_request_timer (MrRelay *relay, MrTime now, MrActiveRequest *request)
 {
-  if (now >= work->hard_end)
+  if (now >= request->hard_deadline)
     {
-      work->cause = MR_CAUSE_TIME;
-      mr_relay_finish_request (relay, now, work, MR_VERDICT_TIMEOUT);
+      request->cause = MR_CAUSE_TIME;
+      mr_relay_finish_request (relay, now, request, MR_VERDICT_TIMEOUT);
       return;
     }
-  if (now >= work->soft_deadline && work->answered_parts >= work->needed_parts)
+  if (now >= request->soft_deadline && request->answered_parts >= request->needed_parts)
     {
-      work->cause = MR_CAUSE_SOFT_END;
-      mr_relay_finish_request (relay, now, work, MR_VERDICT_MERGE);
+      request->cause = MR_CAUSE_SOFT_END;
+      mr_relay_finish_request (relay, now, request, MR_VERDICT_MERGE);
       return;
     }
-  if (now >= work->cancel_at)
+  if (now >= request->cancel_at)
     {
-      mr_relay_cancel_calls (relay, now, work);
+      mr_relay_cancel_calls (relay, now, request);
       return;
     }
-  if (now >= mr_relay_next_trial_time (relay, work))
+  if (now >= mr_relay_next_trial_time (relay, request))
     {
-      mr_relay_begin_trial (relay, now, work);
+      mr_relay_begin_trial (relay, now, request);
       return;
     }
-  for (guint i = 0; i < work->part_count && !mr_relay_is_suspicious (work); i++)
+  for (guint i = 0; i < request->part_count && !mr_relay_is_suspicious (request); i++)
     {
-      RequestPart *job = mr_relay_nth_part_by_risk (work, i);
-      if (now < S_hedge_due (work, job))
+      RequestPart *part = mr_relay_nth_part_by_risk (request, i);
+      if (now < S_next_hedge_time (request, part))
         continue;
-      if (mr_relay_hedge (relay, now, job))
-        work->next_hedge_at = work->arrived + LONE_HEDGE_SPACING * (now - work->arrived);
+      if (mr_relay_hedge (relay, now, part))
+        request->next_hedge_at =
+            request->arrived + UNANSWERED_HEDGE_SPACING * (now - request->arrived);
       else
-        job->hedge_at = now + HEDGE_AGAIN;
+        part->hedge_at = now + HEDGE_RETRY_DELAY;
     }
-  mr_relay_schedule (relay, work);
+  mr_relay_schedule (relay, request);
 }
 
-/* The call has been out for long: either nobody wants it any more, or its
- * target is doubted. */
+/* The call's timer has expired: it was abandoned and has lingered for its full time, or its target
+ * does not respond. */
 static void
-S_check_call (MrRelay *relay, MrTime now, Call *call)
+S_on_call_timer (MrRelay *relay, MrTime now, Call *call)
 {
   MrTargetState *target = call->target;
   if (!call->part)
@@ -220,14 +223,14 @@
                                 mr_health_on_timeout (&target->health, call->started, now));
 }
 
-/* Forgets targets that are gone once no request can remember them. */
+/* Frees removed targets that no request can refer to any more. */
 static void
-S_release_retired (MrRelay *relay, MrTime now)
+S_free_removed_targets (MrRelay *relay, MrTime now)
 {
   for (guint i = 0; i < relay->removed_targets->len;)
     {
       const MrTargetState *target = g_ptr_array_index (relay->removed_targets, i);
-      if (target->in_flight == 0 && now - target->health.leaving_since > RETIRED_KEPT)
+      if (target->in_flight == 0 && now - target->health.leaving_since > REMOVED_TARGET_TTL)
         g_ptr_array_remove_index_fast (relay->removed_targets, i);
       else
         i++;
@@ -239,7 +242,7 @@
 {
   GHashTableIter iter;
   gpointer item = NULL;
-  relay->next_health_check = now + HEALTH_GAP;
+  relay->next_health_check = now + HEALTH_CHECK_INTERVAL;
   relay->any_target_down = FALSE;
   g_hash_table_iter_init (&iter, relay->targets);
   while (g_hash_table_iter_next (&iter, NULL, &item))
@@ -248,7 +251,7 @@
       if (target->health.state == MR_HEALTH_DOWN)
         mr_relay_apply_health_action (relay, now, target, mr_health_tick (&target->health, now));
     }
-  S_release_retired (relay, now);
+  S_free_removed_targets (relay, now);
 }
 
 MrTime
@@ -257,11 +260,11 @@
   for (MrTimer *timer = mr_timers_pop (relay->timers, now); timer;
        timer = mr_timers_pop (relay->timers, now))
     {
-      TimerOwnerKind timed = *(TimerOwnerKind *) timer->owner;
-      if (timed == TIMER_REQUEST)
-        S_check_work (relay, now, timer->owner);
-      else if (timed == TIMER_CALL)
-        S_check_call (relay, now, timer->owner);
+      TimerOwnerKind owner_kind = *(TimerOwnerKind *) timer->owner;
+      if (owner_kind == TIMER_REQUEST)
+        S_on_request_timer (relay, now, timer->owner);
+      else if (owner_kind == TIMER_CALL)
+        S_on_call_timer (relay, now, timer->owner);
       else
         mr_relay_crash_check_due (relay, now, timer->owner);
     }
