--- a/src/relay_choice.c
+++ b/src/relay_choice.c
@@ -2,20 +2,20 @@
 
 #include "safeguard.h"
 
-/* A target that has just started takes this much longer, by its operators. */
-static const double COLD_COST = 1.6;
-/* A target whose oldest call has gone unanswered for this many times the usual
- * stands still (a pause, a crash, a lost path): it gets first sends only if
- * there is no other.  Searchers that pause for 250 ms every 6 s meet a third of
- * all wide searches; passing them over costs no hedge. */
+/* A cold target is slower by this factor, as given by its operators. */
+static const double COLD_COST_FACTOR = 1.6;
+/* A target whose oldest call has been unanswered for this multiple of the median latency is stalled
+ * (a pause, a crash, a lost path): it gets first sends only if there is no other target.  Where
+ * searchers pause for 250 ms every 6 s, a third of all searches over all shards meets a pause;
+ * avoiding such targets saves hedges. */
 static const double STALLED_FACTOR = 2.5;
 static const MrTime STALLED_MIN = 15 * MR_MS;
-static const double STALLED_COST = 50;
-/* Weight of failures: a target that fails half of its calls costs 31 times as much
- * as one that fails none, so that it gets what the others have no room for.  Second
- * sends repair a fifth of all calls; with a weight of 10, as good as a far target or a
- * busy one, 29 % were refused where half of the targets refused 45 %. */
-static const double FAILING_COST = 60;
+static const double STALLED_COST_FACTOR = 50;
+/* A target that fails half of its calls costs 31 times as much as one that fails none, so that it
+ * only gets calls that the others have no room for.  Resends repair only a fifth of all calls: with
+ * a weight of 10, which made such a target equal to a remote or a busy one, 29 % of the requests
+ * were refused where half of the targets refused 45 % of their calls. */
+static const double FAILURE_COST_WEIGHT = 60;
 
 gboolean
 mr_relay_is_stalled (const MrTargetState *target, MrTime now)
@@ -31,97 +31,98 @@
 S_cost (const MrRelay *relay, MrTime now, const MrTargetState *target)
 {
   double cost = target->relative_latency * (target->in_flight + 1) *
-                (1 + FAILING_COST * target->failure_rate);
+                (1 + FAILURE_COST_WEIGHT * target->failure_rate);
   if (relay->domain && !g_str_equal (target->domain, relay->domain))
     cost *= relay->policy->cross_domain_cost;
   if (now < target->cold_until)
-    cost *= COLD_COST;
+    cost *= COLD_COST_FACTOR;
   if (mr_relay_is_stalled (target, now))
-    cost *= STALLED_COST;
+    cost *= STALLED_COST_FACTOR;
   return cost;
 }
 
 static TargetAttempt *
-S_find_tried (RequestPart *job, const MrTargetState *target)
+S_find_attempt (RequestPart *part, const MrTargetState *target)
 {
-  for (guint i = 0; i < job->attempt_count; i++)
-    if (job->attempts[i].target == target)
-      return &job->attempts[i];
+  for (guint i = 0; i < part->attempt_count; i++)
+    if (part->attempts[i].target == target)
+      return &part->attempts[i];
   return NULL;
 }
 
-/* Targets that the job was sent to, as the bound counts them. */
+/* Targets that the part has reached, as counted by the attempt limit. */
 static guint
-S_count_seen (const RequestPart *job)
+S_count_targets_reached (const RequestPart *part)
 {
   guint count = 0;
-  for (guint i = 0; i < job->attempt_count; i++)
-    count += job->attempts[i].has_refused || job->attempts[i].state == ATTEMPT_SENT ? 1 : 0;
+  for (guint i = 0; i < part->attempt_count; i++)
+    count += part->attempts[i].has_refused || part->attempts[i].state == ATTEMPT_SENT ? 1 : 0;
   return count;
 }
 
-/* The bound is on targets that one request may be sent to, so that one that has
- * refused may be asked again: it costs a retry, as another would.  Once only:
- * targets that refuse everything were sent 27 calls of one request in a millisecond,
- * and the retries of all others with them. */
+/* The attempt limit bounds the targets that a request is sent to, so a target that has refused may
+ * be sent the same call again, at the price of a retry, up to the policy's limit.  Without that
+ * limit, targets that refuse everything were sent 27 calls of one request within a millisecond,
+ * which used up the retries of all other requests. */
 static gboolean
-S_may_ask_again (const RequestPart *job, const TargetAttempt *tried)
+S_may_resend (const RequestPart *part, const TargetAttempt *attempt)
 {
-  const MrRelayPolicy *policy = job->request->stats->policy;
-  return tried->state == ATTEMPT_REFUSED && tried->send_count < policy->max_sends_per_target;
+  const MrRelayPolicy *policy = part->request->stats->policy;
+  return attempt->state == ATTEMPT_REFUSED && attempt->send_count < policy->max_sends_per_target;
 }
 
 static gboolean
-S_may_try (const RequestPart *job, const MrTargetState *target)
+S_may_attempt (const RequestPart *part, const MrTargetState *target)
 {
-  const MrActiveRequest *work = job->request;
-  const TargetAttempt *tried = S_find_tried ((RequestPart *) job, target);
-  if (tried)
-    return S_may_ask_again (job, tried);
-  return S_count_seen (job) < work->route->attempt_limit && job->attempt_count < PART_ATTEMPTS_MAX;
+  const MrActiveRequest *request = part->request;
+  const TargetAttempt *attempt = S_find_attempt ((RequestPart *) part, target);
+  if (attempt)
+    return S_may_resend (part, attempt);
+  return S_count_targets_reached (part) < request->route->attempt_limit &&
+         part->attempt_count < PART_ATTEMPTS_MAX;
 }
 
 gboolean
-mr_relay_has_attempts_left (const RequestPart *job)
+mr_relay_has_attempts_left (const RequestPart *part)
 {
-  const MrActiveRequest *work = job->request;
-  if (S_count_seen (job) < work->route->attempt_limit)
+  const MrActiveRequest *request = part->request;
+  if (S_count_targets_reached (part) < request->route->attempt_limit)
     return TRUE;
-  for (guint i = 0; i < job->attempt_count; i++)
-    if (S_may_ask_again (job, &job->attempts[i]))
+  for (guint i = 0; i < part->attempt_count; i++)
+    if (S_may_resend (part, &part->attempts[i]))
       return TRUE;
   return FALSE;
 }
 
 void
-mr_relay_record_send (RequestPart *job, const MrTargetState *target)
+mr_relay_record_send (RequestPart *part, const MrTargetState *target)
 {
-  TargetAttempt *tried = S_find_tried (job, target);
-  if (!tried && job->attempt_count == PART_ATTEMPTS_MAX)
+  TargetAttempt *attempt = S_find_attempt (part, target);
+  if (!attempt && part->attempt_count == PART_ATTEMPTS_MAX)
     return;
-  if (!tried)
-    tried = &job->attempts[job->attempt_count++];
-  tried->target = target;
-  tried->state = ATTEMPT_SENT;
-  tried->send_count++;
+  if (!attempt)
+    attempt = &part->attempts[part->attempt_count++];
+  attempt->target = target;
+  attempt->state = ATTEMPT_SENT;
+  attempt->send_count++;
 }
 
 void
-mr_relay_record_attempt (RequestPart *job, const MrTargetState *target, MrCallOutcome outcome)
+mr_relay_record_attempt (RequestPart *part, const MrTargetState *target, MrCallOutcome outcome)
 {
-  TargetAttempt *tried = S_find_tried (job, target);
-  if (!tried)
+  TargetAttempt *attempt = S_find_attempt (part, target);
+  if (!attempt)
     return;
-  tried->has_refused |= outcome == MR_CALL_SHED;
+  attempt->has_refused |= outcome == MR_CALL_SHED;
   if (outcome == MR_CALL_NOT_CONNECTED || outcome == MR_CALL_WITHDRAWN)
-    tried->state = tried->has_refused ? ATTEMPT_REFUSED : ATTEMPT_UNSENT;
+    attempt->state = attempt->has_refused ? ATTEMPT_REFUSED : ATTEMPT_UNSENT;
   if (outcome == MR_CALL_SHED)
-    tried->state = ATTEMPT_REFUSED;
+    attempt->state = ATTEMPT_REFUSED;
 }
 
-/* A target whose region nobody knows is in none of the homes. */
+/* A target of unknown region is in none of the route's home regions. */
 static gboolean
-S_is_at_home (const MrRoute *route, const MrTargetState *target)
+S_is_in_home_region (const MrRoute *route, const MrTargetState *target)
 {
   if (!route->home_regions || !MR_SAFEGUARD (MR_GUARD_HOMES))
     return TRUE;
@@ -132,21 +133,21 @@
 gboolean
 mr_relay_may_send_to (const MrRelay *relay,
                       MrTime now,
-                      const RequestPart *job,
+                      const RequestPart *part,
                       const MrTargetState *target)
 {
   MrRelayHost *host = relay->host;
-  if (!S_may_try (job, target) || !S_is_at_home (job->request->route, target))
+  if (!S_may_attempt (part, target) || !S_is_in_home_region (part->request->route, target))
     return FALSE;
-  return !host->can_serve || host->can_serve (host, job->request->host_request, target, now);
+  return !host->can_serve || host->can_serve (host, part->request->host_request, target, now);
 }
 
 MrCause
-mr_relay_no_target_cause (const TargetGroup *service)
+mr_relay_no_target_cause (const TargetGroup *group)
 {
-  for (guint i = 0; i < service->targets->len; i++)
+  for (guint i = 0; i < group->targets->len; i++)
     {
-      const MrTargetState *target = g_ptr_array_index (service->targets, i);
+      const MrTargetState *target = g_ptr_array_index (group->targets, i);
       if (target->evacuated && mr_health_usable (&target->health))
         return MR_CAUSE_EVACUATED;
     }
@@ -154,21 +155,21 @@
 }
 
 MrTargetState *
-mr_relay_choose_target (MrRelay *relay, MrTime now, const RequestPart *job, gboolean *hope)
+mr_relay_choose_target (MrRelay *relay, MrTime now, const RequestPart *part, gboolean *any_eligible)
 {
-  const GPtrArray *targets = job->group->targets;
+  const GPtrArray *targets = part->group->targets;
   MrTargetState *best = NULL;
   double best_cost = G_MAXDOUBLE;
-  *hope = FALSE;
+  *any_eligible = FALSE;
   guint offset =
       targets->len > 1 ? (guint) g_rand_int_range (relay->random, 0, (gint32) targets->len) : 0;
   for (guint n = 0; n < targets->len; n++)
     {
       MrTargetState *target = g_ptr_array_index (targets, (n + offset) % targets->len);
       if (!mr_target_state_may_become_usable (target, now) ||
-          !mr_relay_may_send_to (relay, now, job, target))
+          !mr_relay_may_send_to (relay, now, part, target))
         continue;
-      *hope = TRUE;
+      *any_eligible = TRUE;
       if (!mr_target_state_can_take_call (target, now) || !mr_target_state_has_free_slot (target))
         continue;
       double cost = S_cost (relay, now, target);
--- a/src/relay_load.c
+++ b/src/relay_load.c
@@ -2,37 +2,37 @@
 
 #include <math.h>
 
-/* Load of a shard, as the expected time of a call over the time that an answer
- * has, from which its part is left out of some answers, and at which of most.
- * On a site whose shards lose targets until one is asked for 110 % of its slots,
- * everything sent makes every answer late (worth a tenth); each part left out
- * costs its answer a fifth and brings the rest back in time.  Never all: without
- * calls nobody would see that the load has gone. */
-static const double LEAVE_OUT_FROM = 0.45;
-static const double LEAVE_OUT_FULL = 1.1;
-static const double LEAVE_OUT_MOST = 0.85;
+/* Load of a shard, as the expected time of its call over the time until the soft deadline: the
+ * fraction of requests that do without its part grows from 0 at LEAVE_OUT_LOAD_MIN to 1 at
+ * LEAVE_OUT_LOAD_FULL, but not beyond LEAVE_OUT_FRACTION_MAX.  If shards have lost targets until
+ * one is asked for 110 % of its slots, sending every part makes every answer late (a tenth of the
+ * utility); each part left out costs its answer a fifth and keeps the others in time.  If all parts
+ * were left out, the end of the overload would not be noticed. */
+static const double LEAVE_OUT_LOAD_MIN = 0.45;
+static const double LEAVE_OUT_LOAD_FULL = 1.1;
+static const double LEAVE_OUT_FRACTION_MAX = 0.85;
 
-/* Calls that are sent to a target beyond its slots wait there, in the order they
- * came; what waits here goes by rank, is given up in time, and shows in the
- * expected wait by which requests are refused.  The fleet together keeps each
- * target's slots filled twice, one daemon two calls at least.  Three times the
- * usual load, on the virtual clock: four calls a daemon where there are 5 slots
- * and 6 daemons earn 0.84 and 0.36 of the worth of the two kinds of search, two
- * calls 0.95 and 0.46; one call is too few on a calm day (0.98 for 1.00). */
-static const double SLOTS_FILLED = 2;
-static const double CALLS_MIN = 2;
+/* Calls sent to a target beyond its slots wait there in the order of arrival.  Parts queued here
+ * are ordered by priority, are given up when late, and count in the expected wait by which requests
+ * are refused.  So all daemons together fill the slots of each target twice, and one daemon may
+ * always have two calls.  At three times the usual load, on the virtual clock, with 5 slots and 6
+ * daemons, the two kinds of search reach 0.84 and 0.36 of their utility with four calls for each
+ * daemon, and 0.95 and 0.46 with two.  One call is too few at normal load (0.98 instead of 1.00).
+ */
+static const double SLOT_OVERCOMMIT = 2;
+static const double DAEMON_CALLS_MIN = 2;
 
 static double
-S_most_calls (const MrRelay *relay, const MrTargetState *target, double connections)
+S_call_limit (const MrRelay *relay, const MrTargetState *target, double connections)
 {
-  double most = floor (connections * relay->shares.connections);
+  double max_calls = floor (connections * relay->shares.connections);
   if (target->slots == 0)
-    return most;
-  double slots = ceil (target->slots * SLOTS_FILLED * relay->shares.slots);
-  return MIN (most, MAX (slots, CALLS_MIN));
+    return max_calls;
+  double slots = ceil (target->slots * SLOT_OVERCOMMIT * relay->shares.slots);
+  return MIN (max_calls, MAX (slots, DAEMON_CALLS_MIN));
 }
 
-/* Calls that this daemon may send to one cold target in a span. */
+/* Calls that this daemon may send to one cold target in MR_COLD_WINDOW. */
 static guint
 S_cold_permits (const MrRelay *relay, const MrServiceInfo *info)
 {
@@ -44,38 +44,38 @@
 }
 
 void
-mr_relay_update_limits (const MrRelay *relay, const MrActiveRequest *work, TargetGroup *service)
+mr_relay_update_limits (const MrRelay *relay, const MrActiveRequest *request, TargetGroup *group)
 {
-  if (!work->configuration)
-    return; /* its host sets the limits */
-  guint64 version = mr_configuration_version (work->configuration);
-  if (service->limits_version == version &&
-      service->limits_connection_share == relay->shares.connections &&
-      service->limits_cold_share == relay->shares.cold)
+  if (!request->configuration)
+    return; /* the host sets the limits */
+  guint64 version = mr_configuration_version (request->configuration);
+  if (group->limits_version == version &&
+      group->limits_connection_share == relay->shares.connections &&
+      group->limits_cold_share == relay->shares.cold)
     return;
-  const MrServiceInfo *info = mr_configuration_find_service (work->configuration, service->name);
-  service->limits_version = version;
-  service->limits_connection_share = relay->shares.connections;
-  service->limits_cold_share = relay->shares.cold;
-  service->cold_time = info ? info->cold_time : 0;
+  const MrServiceInfo *info = mr_configuration_find_service (request->configuration, group->name);
+  group->limits_version = version;
+  group->limits_connection_share = relay->shares.connections;
+  group->limits_cold_share = relay->shares.cold;
+  group->cold_time = info ? info->cold_time : 0;
   guint permits = S_cold_permits (relay, info);
-  for (guint i = 0; i < service->targets->len; i++)
+  for (guint i = 0; i < group->targets->len; i++)
     {
-      MrTargetState *target = g_ptr_array_index (service->targets, i);
-      double most = info ? info->max_connections_per_target : target->connection_limit;
-      mr_concurrency_limit_set_max (&target->limit, S_most_calls (relay, target, most));
+      MrTargetState *target = g_ptr_array_index (group->targets, i);
+      double max_calls = info ? info->max_connections_per_target : target->connection_limit;
+      mr_concurrency_limit_set_max (&target->limit, S_call_limit (relay, target, max_calls));
       target->cold_permits = permits;
     }
 }
 
 guint
-mr_relay_group_capacity (const TargetGroup *service, MrTime now, double *room)
+mr_relay_group_capacity (const TargetGroup *group, MrTime now, double *room)
 {
   guint usable = 0;
   *room = 0;
-  for (guint i = 0; i < service->targets->len; i++)
+  for (guint i = 0; i < group->targets->len; i++)
     {
-      const MrTargetState *target = g_ptr_array_index (service->targets, i);
+      const MrTargetState *target = g_ptr_array_index (group->targets, i);
       if (!mr_target_state_may_become_usable (target, now))
         continue;
       usable++;
@@ -84,59 +84,59 @@
   return usable;
 }
 
-/* Time of one more call at @target. */
+/* Expected latency of another call at @target. */
 static double
-S_expected_time (const MrTargetState *target, MrTime now, const RouteStats *kind)
+S_expected_time (const MrTargetState *target, MrTime now, const RouteStats *stats)
 {
-  double expected = target->relative_latency * kind->median;
+  double expected = target->relative_latency * stats->median;
   const Call *oldest = g_queue_peek_head (&((MrTargetState *) target)->open_calls);
-  /* A queue that has just built up shows in the calls that are out before it
-   * shows in answers. */
+  /* A queue that has just built up shows in the age of calls in flight before it shows in answers.
+   */
   if (oldest && oldest->part && target->health.last_response_at < oldest->started)
     expected = MAX (expected, (double) (now - oldest->started));
   return expected;
 }
 
 MrTime
-mr_relay_expected_wait (const RequestPart *job, MrTime now)
+mr_relay_expected_wait (const RequestPart *part, MrTime now)
 {
   double room = 0;
   double ahead = 0;
-  for (const GList *link = job->group->queue.head; link; link = link->next)
+  for (const GList *link = part->group->queue.head; link; link = link->next)
     if (((const RequestPart *) link->data)->request->route->priority <=
-        job->request->route->priority)
+        part->request->route->priority)
       ahead++;
-  mr_relay_group_capacity (job->group, now, &room);
-  return ahead > 0 && room > 0 ? (MrTime) (ahead * job->request->stats->mean / room) : 0;
+  mr_relay_group_capacity (part->group, now, &room);
+  return ahead > 0 && room > 0 ? (MrTime) (ahead * part->request->stats->mean / room) : 0;
 }
 
-/* Expected time of the job over the time that an answer in time has; 0 if
- * nothing is known to go by, as after a start. */
+/* Expected time of the part's call over the time until the soft deadline; 0 while the route's
+ * statistics are not reliable, as after a start. */
 double
-mr_relay_part_load (const RequestPart *job, MrTime now)
+mr_relay_part_load (const RequestPart *part, MrTime now)
 {
-  const MrActiveRequest *work = job->request;
+  const MrActiveRequest *request = part->request;
   double best = G_MAXDOUBLE;
-  if (!mr_relay_stats_are_reliable (work->stats))
+  if (!mr_relay_stats_are_reliable (request->stats))
     return 0;
-  for (guint i = 0; i < job->group->targets->len; i++)
+  for (guint i = 0; i < part->group->targets->len; i++)
     {
-      const MrTargetState *target = g_ptr_array_index (job->group->targets, i);
+      const MrTargetState *target = g_ptr_array_index (part->group->targets, i);
       if (mr_target_state_can_take_call (target, now))
-        best = MIN (best, S_expected_time (target, now, work->stats));
+        best = MIN (best, S_expected_time (target, now, request->stats));
     }
   if (best == G_MAXDOUBLE)
     return 0;
-  double expected = best + (double) mr_relay_expected_wait (job, now);
-  return expected / (double) MAX (work->soft_deadline - now, 1);
+  double expected = best + (double) mr_relay_expected_wait (part, now);
+  return expected / (double) MAX (request->soft_deadline - now, 1);
 }
 
 gboolean
-mr_relay_part_is_saturated (const RequestPart *job, MrTime now)
+mr_relay_part_is_saturated (const RequestPart *part, MrTime now)
 {
-  for (guint i = 0; i < job->group->targets->len; i++)
+  for (guint i = 0; i < part->group->targets->len; i++)
     {
-      const MrTargetState *target = g_ptr_array_index (job->group->targets, i);
+      const MrTargetState *target = g_ptr_array_index (part->group->targets, i);
       if (mr_target_state_can_take_call (target, now) && mr_target_state_has_free_slot (target))
         return FALSE;
     }
@@ -144,16 +144,16 @@
 }
 
 gboolean
-mr_relay_leave_out (MrRelay *relay, MrTime now, RequestPart *job)
+mr_relay_leave_out (MrRelay *relay, MrTime now, RequestPart *part)
 {
-  MrActiveRequest *work = job->request;
-  if (work->omittable_parts == 0)
+  MrActiveRequest *request = part->request;
+  if (request->omittable_parts == 0)
     return FALSE;
-  double load = mr_relay_part_load (job, now);
-  double share =
-      CLAMP ((load - LEAVE_OUT_FROM) / (LEAVE_OUT_FULL - LEAVE_OUT_FROM), 0, LEAVE_OUT_MOST);
-  if (g_rand_double (relay->random) >= share)
+  double load = mr_relay_part_load (part, now);
+  double fraction = CLAMP ((load - LEAVE_OUT_LOAD_MIN) / (LEAVE_OUT_LOAD_FULL - LEAVE_OUT_LOAD_MIN),
+                           0, LEAVE_OUT_FRACTION_MAX);
+  if (g_rand_double (relay->random) >= fraction)
     return FALSE;
-  work->omittable_parts--;
+  request->omittable_parts--;
   return TRUE;
 }
