--- a/src/relay.c
+++ b/src/relay.c
@@ -43,220 +43,220 @@
 }
 
 static BudgetPool *
-S_pool (MrRelay *r, const char *name)
+S_get_pool (MrRelay *relay, const char *name)
 {
-  BudgetPool *pool = g_hash_table_lookup (r->pools, name);
+  BudgetPool *pool = g_hash_table_lookup (relay->pools, name);
   if (pool)
     return pool;
   pool = g_new0 (BudgetPool, 1);
-  pool->terms = r->budget_config;
-  pool->hedge_quantile = r->policy->hedge_quantile;
-  g_hash_table_insert (r->pools, g_strdup (name), pool);
+  pool->terms = relay->budget_config;
+  pool->hedge_quantile = relay->policy->hedge_quantile;
+  g_hash_table_insert (relay->pools, g_strdup (name), pool);
   return pool;
 }
 
 static void
-S_service_free (gpointer data)
+S_group_free (gpointer data)
 {
-  TargetGroup *service = data;
-  g_ptr_array_unref (service->targets);
-  g_free (service->name);
-  g_free (service);
+  TargetGroup *group = data;
+  g_ptr_array_unref (group->targets);
+  g_free (group->name);
+  g_free (group);
 }
 
 MrRelay *
-mr_relay_new (MrRelayHost *host, const MrRelayOptions *info)
+mr_relay_new (MrRelayHost *host, const MrRelayOptions *options)
 {
-  MrRelay *r = g_new0 (MrRelay, 1);
-  r->host = host;
-  r->policy = info->policy;
-  r->domain = g_strdup (info->domain);
-  r->regions = info->regions;
-  r->budget_config = info->budget;
-  r->cold_limit = info->cold_limit;
-  r->random = g_rand_new_with_seed (info->seed);
-  r->pools = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  r->groups = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, S_service_free);
-  r->route_stats = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  r->splits = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, mr_relay_split_free);
-  r->targets = g_hash_table_new (g_str_hash, g_str_equal);
-  r->calls = g_hash_table_new (g_int64_hash, g_int64_equal);
-  r->requests = g_hash_table_new (NULL, NULL);
-  r->removed_targets = g_ptr_array_new_with_free_func ((GDestroyNotify) mr_target_state_free);
-  r->suspect_contents =
+  MrRelay *relay = g_new0 (MrRelay, 1);
+  relay->host = host;
+  relay->policy = options->policy;
+  relay->domain = g_strdup (options->domain);
+  relay->regions = options->regions;
+  relay->budget_config = options->budget;
+  relay->cold_limit = options->cold_limit;
+  relay->random = g_rand_new_with_seed (options->seed);
+  relay->pools = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  relay->groups = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, S_group_free);
+  relay->route_stats = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  relay->splits = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, mr_relay_split_free);
+  relay->targets = g_hash_table_new (g_str_hash, g_str_equal);
+  relay->calls = g_hash_table_new (g_int64_hash, g_int64_equal);
+  relay->requests = g_hash_table_new (NULL, NULL);
+  relay->removed_targets = g_ptr_array_new_with_free_func ((GDestroyNotify) mr_target_state_free);
+  relay->suspect_contents =
       g_hash_table_new_full (mr_fingerprint_key_hash, mr_fingerprint_key_equal, NULL, g_free);
-  r->recent_answers = mr_recent_answers_new ();
-  r->crash_checks = g_ptr_array_new_with_free_func (g_free);
-  r->unix_offset = info->unix_offset;
-  r->timers = mr_timers_new ();
-  return r;
+  relay->recent_answers = mr_recent_answers_new ();
+  relay->crash_checks = g_ptr_array_new_with_free_func (g_free);
+  relay->unix_offset = options->unix_offset;
+  relay->timers = mr_timers_new ();
+  return relay;
 }
 
 void
-mr_active_request_free (MrRelay *r, MrActiveRequest *work)
+mr_active_request_free (MrRelay *relay, MrActiveRequest *request)
 {
-  mr_timers_set (r->timers, &work->timer, MR_NEVER);
-  for (guint i = 0; i < work->part_count; i++)
+  mr_timers_set (relay->timers, &request->timer, MR_NEVER);
+  for (guint i = 0; i < request->part_count; i++)
     {
-      if (work->answers[i])
-        r->host->free_answer (work->answers[i]);
-      if (work->parts[i].error_answer)
-        r->host->free_answer (work->parts[i].error_answer);
+      if (request->answers[i])
+        relay->host->free_answer (request->answers[i]);
+      if (request->parts[i].error_answer)
+        relay->host->free_answer (request->parts[i].error_answer);
     }
-  mr_configuration_unref (work->configuration);
-  g_array_unref (work->sends);
-  g_free (work->parts);
-  g_free (work->answers);
-  g_free (work);
+  mr_configuration_unref (request->configuration);
+  g_array_unref (request->sends);
+  g_free (request->parts);
+  g_free (request->answers);
+  g_free (request);
 }
 
 void
-mr_relay_free (MrRelay *r)
+mr_relay_free (MrRelay *relay)
 {
-  if (!r)
+  if (!relay)
     return;
   GHashTableIter iter;
   gpointer item = NULL;
-  g_hash_table_iter_init (&iter, r->requests);
+  g_hash_table_iter_init (&iter, relay->requests);
   while (g_hash_table_iter_next (&iter, &item, NULL))
-    mr_active_request_free (r, item);
-  g_hash_table_iter_init (&iter, r->calls);
+    mr_active_request_free (relay, item);
+  g_hash_table_iter_init (&iter, relay->calls);
   while (g_hash_table_iter_next (&iter, NULL, &item))
     g_free (item);
-  g_hash_table_iter_init (&iter, r->targets);
+  g_hash_table_iter_init (&iter, relay->targets);
   while (g_hash_table_iter_next (&iter, NULL, &item))
     mr_target_state_free (item);
-  g_hash_table_unref (r->requests);
-  g_hash_table_unref (r->calls);
-  g_hash_table_unref (r->targets);
-  g_hash_table_unref (r->splits);
-  g_hash_table_unref (r->route_stats);
-  g_hash_table_unref (r->groups);
-  g_hash_table_unref (r->pools);
-  g_ptr_array_unref (r->removed_targets);
-  g_clear_pointer (&r->evacuated, g_hash_table_unref);
-  g_ptr_array_unref (r->crash_checks);
-  g_hash_table_unref (r->suspect_contents);
-  mr_recent_answers_free (r->recent_answers);
-  mr_timers_free (r->timers);
-  g_rand_free (r->random);
-  g_free (r->domain);
-  g_free (r);
+  g_hash_table_unref (relay->requests);
+  g_hash_table_unref (relay->calls);
+  g_hash_table_unref (relay->targets);
+  g_hash_table_unref (relay->splits);
+  g_hash_table_unref (relay->route_stats);
+  g_hash_table_unref (relay->groups);
+  g_hash_table_unref (relay->pools);
+  g_ptr_array_unref (relay->removed_targets);
+  g_clear_pointer (&relay->evacuated, g_hash_table_unref);
+  g_ptr_array_unref (relay->crash_checks);
+  g_hash_table_unref (relay->suspect_contents);
+  mr_recent_answers_free (relay->recent_answers);
+  mr_timers_free (relay->timers);
+  g_rand_free (relay->random);
+  g_free (relay->domain);
+  g_free (relay);
 }
 
 void
-mr_relay_set_shares (MrRelay *r, const MrRelayShares *shares)
+mr_relay_set_shares (MrRelay *relay, const MrRelayShares *shares)
 {
   GHashTableIter iter;
   gpointer pool = NULL;
-  r->shares = *shares;
-  r->budget_config.share = shares->allowance;
-  g_hash_table_iter_init (&iter, r->pools);
+  relay->shares = *shares;
+  relay->budget_config.share = shares->allowance;
+  g_hash_table_iter_init (&iter, relay->pools);
   while (g_hash_table_iter_next (&iter, NULL, &pool))
     ((BudgetPool *) pool)->terms.share = shares->allowance;
 }
 
 static TargetGroup *
-S_add_service (MrRelay *r, const char *name, const char *pool)
+S_add_group (MrRelay *relay, const char *name, const char *pool)
 {
-  TargetGroup *service = g_new0 (TargetGroup, 1);
-  service->name = g_strdup (name);
-  service->pool = S_pool (r, pool);
-  service->targets = g_ptr_array_new ();
-  service->limits_connection_share = LIMITS_UNSET;
-  g_queue_init (&service->queue);
-  g_hash_table_insert (r->groups, service->name, service);
-  return service;
+  TargetGroup *group = g_new0 (TargetGroup, 1);
+  group->name = g_strdup (name);
+  group->pool = S_get_pool (relay, pool);
+  group->targets = g_ptr_array_new ();
+  group->limits_connection_share = LIMITS_UNSET;
+  g_queue_init (&group->queue);
+  g_hash_table_insert (relay->groups, group->name, group);
+  return group;
 }
 
 TargetGroup *
-mr_relay_get_group (MrRelay *r, const char *name)
+mr_relay_get_group (MrRelay *relay, const char *name)
 {
-  TargetGroup *service = g_hash_table_lookup (r->groups, name);
-  return service ? service : S_add_service (r, name, name);
+  TargetGroup *group = g_hash_table_lookup (relay->groups, name);
+  return group ? group : S_add_group (relay, name, name);
 }
 
 void
-mr_relay_add_group (MrRelay *r, const char *set, const char *pool)
+mr_relay_add_group (MrRelay *relay, const char *name, const char *pool)
 {
-  if (!g_hash_table_contains (r->groups, set))
-    S_add_service (r, set, pool);
+  if (!g_hash_table_contains (relay->groups, name))
+    S_add_group (relay, name, pool);
 }
 
 void
-mr_relay_remove_group (MrRelay *r, const char *set)
+mr_relay_remove_group (MrRelay *relay, const char *name)
 {
-  TargetGroup *service = g_hash_table_lookup (r->groups, set);
-  if (!service)
+  TargetGroup *group = g_hash_table_lookup (relay->groups, name);
+  if (!group)
     return;
-  for (guint i = 0; i < service->targets->len; i++)
-    g_ptr_array_remove_fast (((MrTargetState *) g_ptr_array_index (service->targets, i))->sets,
-                             service);
-  g_hash_table_remove (r->groups, set);
+  for (guint i = 0; i < group->targets->len; i++)
+    g_ptr_array_remove_fast (((MrTargetState *) g_ptr_array_index (group->targets, i))->sets,
+                             group);
+  g_hash_table_remove (relay->groups, name);
 }
 
 void
-mr_relay_configure_pool (MrRelay *r, const char *name, double ratio, double hedge_quantile)
+mr_relay_configure_pool (MrRelay *relay, const char *name, double ratio, double hedge_quantile)
 {
-  BudgetPool *pool = S_pool (r, name);
+  BudgetPool *pool = S_get_pool (relay, name);
   pool->terms.ratio = ratio;
   pool->hedge_quantile = hedge_quantile;
 }
 
 guint
-mr_relay_queued_parts (const MrRelay *r, const char *name, guint rank)
+mr_relay_queued_parts (const MrRelay *relay, const char *name, guint priority)
 {
-  const BudgetPool *pool = g_hash_table_lookup (r->pools, name);
+  const BudgetPool *pool = g_hash_table_lookup (relay->pools, name);
   guint sum = 0;
-  for (guint i = 0; pool && i <= MIN (rank, MR_PRIORITIES - 1U); i++)
+  for (guint i = 0; pool && i <= MIN (priority, MR_PRIORITIES - 1U); i++)
     sum += pool->queued[i];
   return sum;
 }
 
 double
-mr_relay_mean_latency (const MrRelay *r, const char *name)
+mr_relay_mean_latency (const MrRelay *relay, const char *name)
 {
-  const RouteStats *kind = g_hash_table_lookup (r->route_stats, name);
-  return kind ? kind->mean : 0;
+  const RouteStats *stats = g_hash_table_lookup (relay->route_stats, name);
+  return stats ? stats->mean : 0;
 }
 
 void
-mr_relay_record_response_overhead (MrRelay *r, MrTime took)
+mr_relay_record_response_overhead (MrRelay *relay, MrTime took)
 {
-  mr_response_overhead_add (&r->response_overhead, took);
+  mr_response_overhead_add (&relay->response_overhead, took);
 }
 
 MrTime
-mr_relay_response_overhead (const MrRelay *r)
+mr_relay_response_overhead (const MrRelay *relay)
 {
-  return mr_response_overhead_estimate (&r->response_overhead);
+  return mr_response_overhead_estimate (&relay->response_overhead);
 }
 
 gboolean
-mr_relay_find_call (const MrRelay *r, guint64 id, MrRelayCall *out)
+mr_relay_find_call (const MrRelay *relay, guint64 id, MrRelayCall *out)
 {
-  const Call *call = g_hash_table_lookup (r->calls, &id);
+  const Call *call = g_hash_table_lookup (relay->calls, &id);
   if (!call)
     return FALSE;
-  const RequestPart *job = call->part;
+  const RequestPart *part = call->part;
   *out = (MrRelayCall){ .id = id, .target = call->target };
-  if (job)
+  if (part)
     {
-      out->host_request = job->request->host_request;
-      out->part_index = job->index;
-      out->idempotent = job->request->route->idempotent;
+      out->host_request = part->request->host_request;
+      out->part_index = part->index;
+      out->idempotent = part->request->route->idempotent;
     }
   return TRUE;
 }
 
 const MrRelayCounts *
-mr_relay_counts (const MrRelay *r)
+mr_relay_counts (const MrRelay *relay)
 {
-  return &r->counts;
+  return &relay->counts;
 }
 
 guint
-mr_relay_request_count (const MrRelay *r)
+mr_relay_request_count (const MrRelay *relay)
 {
-  return g_hash_table_size (r->requests);
+  return g_hash_table_size (relay->requests);
 }
--- a/src/relay_evacuation.c
+++ b/src/relay_evacuation.c
@@ -3,63 +3,64 @@
 #include "safeguard.h"
 
 static gboolean
-S_has (GHashTable *domains, const char *domain)
+S_contains_domain (GHashTable *domains, const char *domain)
 {
   return domains && g_hash_table_contains (domains, domain) && MR_SAFEGUARD (MR_GUARD_EVACUATION);
 }
 
 gboolean
-mr_relay_is_evacuated (const MrRelay *r, const char *domain)
+mr_relay_is_evacuated (const MrRelay *relay, const char *domain)
 {
-  return S_has (r->evacuated, domain);
+  return S_contains_domain (relay->evacuated, domain);
 }
 
-/* Takes back the calls to the domains of @added of which nothing has been sent; what has been
- * sent runs out. */
+/* Withdraws the calls to the domains of @added of which nothing has been sent; others run to their
+ * end. */
 static void
-S_withdraw_unsent (MrRelay *r, MrTime now, GHashTable *added)
+S_withdraw_unsent (MrRelay *relay, MrTime now, GHashTable *added)
 {
-  if (!r->host->withdraw_call)
+  if (!relay->host->withdraw_call)
     return;
   g_autoptr (GArray) ids = g_array_new (FALSE, FALSE, sizeof (guint64));
   GHashTableIter iter;
   gpointer item = NULL;
-  g_hash_table_iter_init (&iter, r->calls);
+  g_hash_table_iter_init (&iter, relay->calls);
   while (g_hash_table_iter_next (&iter, NULL, &item))
     {
       const Call *call = item;
-      if (S_has (added, call->target->domain))
+      if (S_contains_domain (added, call->target->domain))
         g_array_append_val (ids, call->id);
     }
   for (guint i = 0; i < ids->len; i++)
     {
       guint64 id = g_array_index (ids, guint64, i);
-      /* The end of another may have ended this one. */
-      if (!g_hash_table_contains (r->calls, &id) || !r->host->withdraw_call (r->host, id))
+      /* The end of another call may have ended this one. */
+      if (!g_hash_table_contains (relay->calls, &id) ||
+          !relay->host->withdraw_call (relay->host, id))
         continue;
-      r->counts.withdrawn++;
-      mr_relay_call_end (r, now, id, MR_CALL_WITHDRAWN, NULL);
+      relay->counts.withdrawn++;
+      mr_relay_call_end (relay, now, id, MR_CALL_WITHDRAWN, NULL);
     }
 }
 
-/* What the target knew of its requests may be lost: work comes back step by step. */
+/* The target may have lost its caches: its calls increase step by step. */
 static void
-S_return (MrRelay *r, MrTime now, MrTargetState *target)
+S_restore_target (MrRelay *relay, MrTime now, MrTargetState *target)
 {
   mr_concurrency_limit_slow_start (&target->limit);
   mr_relay_assume_cold (target, now);
-  mr_relay_send_queued_to (r, now, target);
+  mr_relay_send_queued_to (relay, now, target);
 }
 
 static void
-S_pump_all (MrRelay *r, MrTime now, MrTargetState *target)
+S_send_queued_elsewhere (MrRelay *relay, MrTime now, MrTargetState *target)
 {
   for (guint i = 0; i < target->sets->len; i++)
-    mr_relay_send_queued (r, now, g_ptr_array_index (target->sets, i));
+    mr_relay_send_queued (relay, now, g_ptr_array_index (target->sets, i));
 }
 
 static gboolean
-S_is_same (GHashTable *known, GHashTable *domains)
+S_same_domains (GHashTable *known, GHashTable *domains)
 {
   GHashTableIter iter;
   gpointer domain = NULL;
@@ -67,42 +68,42 @@
     return FALSE;
   g_hash_table_iter_init (&iter, domains);
   while (g_hash_table_iter_next (&iter, &domain, NULL))
-    if (!S_has (known, domain))
+    if (!S_contains_domain (known, domain))
       return FALSE;
   return TRUE;
 }
 
-/* Takes over @domains; returns those that were not there before, borrowed. */
+/* Replaces the evacuated domains; returns those that are new, with borrowed names. */
 static GHashTable *
-S_replace (MrRelay *r, GHashTable *domains)
+S_replace_domains (MrRelay *relay, GHashTable *domains)
 {
-  g_autoptr (GHashTable) before = g_steal_pointer (&r->evacuated);
+  g_autoptr (GHashTable) previous = g_steal_pointer (&relay->evacuated);
   GHashTable *added = g_hash_table_new (g_str_hash, g_str_equal);
   GHashTableIter iter;
   gpointer domain = NULL;
-  r->evacuated = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  relay->evacuated = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   g_hash_table_iter_init (&iter, domains);
   while (g_hash_table_iter_next (&iter, &domain, NULL))
     {
-      g_hash_table_add (r->evacuated, g_strdup (domain));
-      if (!S_has (before, domain))
+      g_hash_table_add (relay->evacuated, g_strdup (domain));
+      if (!S_contains_domain (previous, domain))
         g_hash_table_add (added, domain);
     }
   return added;
 }
 
-/* Targets for which it is not as before; new. */
+/* Updates the targets; returns those that have changed. */
 static GPtrArray *
-S_mark_targets (MrRelay *r)
+S_mark_targets (MrRelay *relay)
 {
   GPtrArray *changed = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer item = NULL;
-  g_hash_table_iter_init (&iter, r->targets);
+  g_hash_table_iter_init (&iter, relay->targets);
   while (g_hash_table_iter_next (&iter, NULL, &item))
     {
       MrTargetState *target = item;
-      gboolean evacuated = S_has (r->evacuated, target->domain);
+      gboolean evacuated = S_contains_domain (relay->evacuated, target->domain);
       if (target->evacuated != evacuated)
         g_ptr_array_add (changed, target);
       target->evacuated = evacuated;
@@ -111,20 +112,20 @@
 }
 
 void
-mr_relay_set_evacuated (MrRelay *r, MrTime now, GHashTable *domains)
+mr_relay_set_evacuated (MrRelay *relay, MrTime now, GHashTable *domains)
 {
-  if (S_is_same (r->evacuated, domains))
+  if (S_same_domains (relay->evacuated, domains))
     return;
-  g_autoptr (GHashTable) added = S_replace (r, domains);
-  /* All first, so that what is taken back goes to none of them. */
-  g_autoptr (GPtrArray) changed = S_mark_targets (r);
-  S_withdraw_unsent (r, now, added);
+  g_autoptr (GHashTable) added = S_replace_domains (relay, domains);
+  /* All targets are marked first, so that withdrawn calls are not sent to another evacuated one. */
+  g_autoptr (GPtrArray) changed = S_mark_targets (relay);
+  S_withdraw_unsent (relay, now, added);
   for (guint i = 0; i < changed->len; i++)
     {
       MrTargetState *target = g_ptr_array_index (changed, i);
       if (target->evacuated)
-        S_pump_all (r, now, target);
+        S_send_queued_elsewhere (relay, now, target);
       else
-        S_return (r, now, target);
+        S_restore_target (relay, now, target);
     }
 }
