--- a/test/test_decisions.c
+++ b/test/test_decisions.c
@@ -1,4 +1,4 @@
-/* Small decision modules, each as a table of cases on a virtual clock. */
+/* Tables of cases for the small decision modules, on a virtual clock. */
 
 #include "burn.h"
 #include "concurrency_limit.h"
@@ -18,7 +18,7 @@
 
 #include <cmocka.h>
 
-/* Quantiles stay within 5 % of the true value up to a minute. */
+/* Quantiles are within 5 % of the true value up to a minute. */
 static void
 test_histogram (void **state)
 {
@@ -55,7 +55,8 @@
     .started_at = -10 * MR_SECOND,
   };
   guint spent = 0;
-  /* 1,000 first calls at 5 % earn 50 beside the allowance, whatever is asked for. */
+  /* 1,000 requests at 5 % allow 50 resends besides the fixed allowance, however many are asked for.
+   */
   for (int i = 0; i < 1000; i++)
     {
       mr_resend_budget_add_request (&budget, &terms, MR_SECOND);
@@ -64,15 +65,15 @@
   while (mr_resend_budget_try_spend (&budget, &terms, MR_SECOND, 1))
     spent++;
   assert_int_equal (spent, 50 + 20);
-  /* A busy hour can't pay for a burst after it: a window later it is forgotten. */
+  /* A busy time can't pay for a burst after it: its requests expire with the window. */
   for (spent = 0; mr_resend_budget_try_spend (&budget, &terms, 20 * MR_SECOND, 1); spent++)
     ;
   assert_int_equal (spent, 20);
-  /* A quiet service can still repair a failure now and then. */
+  /* A service with few requests can still resend now and then. */
   assert_false (mr_resend_budget_try_spend (&budget, &terms, 20 * MR_SECOND, 1));
   assert_false (mr_resend_budget_try_spend (&budget, &terms, 29 * MR_SECOND, 1));
   assert_true (mr_resend_budget_try_spend (&budget, &terms, 31 * MR_SECOND, 1));
-  /* Hedges leave what is kept for failures. */
+  /* Hedges leave a part of the budget to retries of failed calls. */
   for (spent = 0; mr_resend_budget_try_spend (&budget, &terms, 50 * MR_SECOND, 0.75); spent++)
     ;
   assert_int_equal (spent, 15);
@@ -103,7 +104,7 @@
   assert_int_equal (mr_concurrency_limit_calls (&limit), 4);
 }
 
-/* What a target's calls say of it: event by event, the state and the action. */
+/* Health of a target: state and action after each event. */
 static void
 test_health (void **state)
 {
@@ -124,23 +125,23 @@
   static const struct
   {
     Event event;
-    MrTime at; /* ms; calls that stay silent began 10 ms before */
+    MrTime at; /* ms; unresponsive calls were sent 10 ms before */
     MrHealthState state;
     MrHealthAction action;
   } steps[] = {
     { ANSWER, 100, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
-    /* Answered since the call began: only its connection is doubted. */
+    /* It has answered since the call was sent: only the call's connection is in doubt. */
     { SILENCE, 105, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
     { SILENCE, 200, MR_HEALTH_SUSPECT, MR_HEALTH_ACTION_PROBE },
     { SILENCE, 201, MR_HEALTH_SUSPECT, MR_HEALTH_ACTION_NONE },
-    /* The probe on a new connection answers: the old connections were lost. */
+    /* The probe succeeds on a new connection: the old connections were lost. */
     { PROBE_OK, 210, MR_HEALTH_UP, MR_HEALTH_ACTION_RECONNECT },
     { BREAK, 300, MR_HEALTH_SUSPECT, MR_HEALTH_ACTION_PROBE },
     { PROBE_FAILED, 310, MR_HEALTH_DOWN, MR_HEALTH_ACTION_NONE },
     { TICK, 350, MR_HEALTH_DOWN, MR_HEALTH_ACTION_NONE },
     { TICK, 411, MR_HEALTH_DOWN, MR_HEALTH_ACTION_PROBE },
     { PROBE_OK, 420, MR_HEALTH_UP, MR_HEALTH_ACTION_SLOW_START },
-    /* Fast failures: out after three in a row, then for longer after each one. */
+    /* Fast failures: down after three in a row, and for longer after each further one. */
     { FAILURE, 430, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
     { FAILURE, 431, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
     { FAILURE, 432, MR_HEALTH_DOWN, MR_HEALTH_ACTION_NONE },
@@ -158,7 +159,7 @@
     { LOST, 1087, MR_HEALTH_UP, MR_HEALTH_ACTION_RECONNECT },
     { LEAVING, 1100, MR_HEALTH_LEAVING, MR_HEALTH_ACTION_NONE },
     { ANSWER, 1110, MR_HEALTH_LEAVING, MR_HEALTH_ACTION_NONE },
-    /* The list lags: the target's own word stands for a while. */
+    /* The list of VMs lags behind: the target's own notice holds for a while. */
     { LIVE, 5000, MR_HEALTH_LEAVING, MR_HEALTH_ACTION_NONE },
     { LIVE, 40000, MR_HEALTH_DOWN, MR_HEALTH_ACTION_PROBE },
     { PROBE_OK, 40010, MR_HEALTH_UP, MR_HEALTH_ACTION_SLOW_START },
@@ -232,7 +233,7 @@
   mr_registry_free (b);
 }
 
-/* Rendezvous: near domain first, spread evenly, and a lost member moves only
+/* Rendezvous hashing: members of the near domain first, evenly spread, and a lost member moves only
  * the cells that it owned. */
 static void
 test_owner (void **state)
@@ -301,7 +302,7 @@
     MrTime at;
     MrOrdersDecision decision;
     MrResult result;
-    MrResult end; /* of a dispatch, 0: leave it in flight */
+    MrResult end; /* of a dispatch; 0: leave it in flight */
   } steps[] = {
     { "", "a", 2, MR_ORDERS_ANSWER, MR_RESULT_NO_TICKET, 0 },
     { "rubbish", "a", 2, MR_ORDERS_ANSWER, MR_RESULT_BAD_TICKET, 0 },
@@ -333,7 +334,7 @@
   mr_orders_free (orders);
 }
 
-/* Hand-computed: 2 of 100 slow at an objective of 99 % burns at 2. */
+/* Computed by hand: 2 slow requests of 100 with an objective of 99 % burn at rate 2. */
 static void
 test_burn (void **state)
 {
@@ -354,7 +355,7 @@
   rate = mr_burn_rate (1, 200, 0.01, 7200);
   assert_true (fabs (rate.rate - 0.5) < 1e-9);
   assert_true (fabs (rate.hours_to_empty - 2) < 1e-9);
-  /* Out of the 5 minutes, still in the hour. */
+  /* No longer in the 5 minutes, still in the hour. */
   assert_int_equal (mr_burn_counts (burn, 1400 * MR_SECOND, "shop", 0).total, 0);
   assert_int_equal (mr_burn_counts (burn, 1400 * MR_SECOND, "shop", 1).total, 100);
   assert_int_equal (mr_burn_covered_seconds (burn, 1400 * MR_SECOND, 1), 1400);
@@ -377,9 +378,11 @@
   guint watchers = 0;
   for (int i = 0; i < 8; i++)
     watchers += mr_watch_rank (roster, members[i].name) < MR_WATCHERS_PER_DOMAIN;
-  assert_int_equal (watchers, 2 * MR_WATCHERS_PER_DOMAIN); /* two domains, whatever the fleet */
+  assert_int_equal (
+      watchers, 2 * MR_WATCHERS_PER_DOMAIN); /* for two domains, whatever the size of the fleet */
   mr_roster_free (roster);
-  /* Failures back off; those that don't watch do not press a store that is down. */
+  /* The delay grows with failures; a member that does not watch polls an unavailable store rarely.
+   */
   MrWatch watch = { 0 };
   MrTime now = MR_SECOND;
   mr_watch_ended (&watch, now, false, true, 0.5);
@@ -393,7 +396,7 @@
   assert_int_equal (watch.due - now, 180 * MR_SECOND);
 }
 
-/* Every refusal that says "not run" is numbered 2xx or 4xx, and only those. */
+/* Exactly the results numbered 2xx and 4xx say that the request has not run. */
 static void
 test_results (void **state)
 {
--- a/test/test_evacuation.c
+++ b/test/test_evacuation.c
@@ -1,5 +1,5 @@
-/* Evacuations of failure domains: what callers get meanwhile, on the virtual clock, and that
- * every daemon of a fleet knows of them in time. */
+/* Evacuations of failure domains, on a virtual clock: the utility for callers meanwhile, and how
+ * soon every daemon of a fleet knows of them. */
 
 #include "evacuation.h"
 #include "fleet.h"
@@ -7,7 +7,7 @@
 #include "relay_expect.h"
 #include "relay_site.h"
 
-/* Versions are those of an object that is written, removed and written again. */
+/* The versions grow when an evacuation is written, removed and written again. */
 static void
 test_versions (void **state)
 {
@@ -21,16 +21,16 @@
   assert_true (written < removed && removed < again);
 }
 
-/* Guards against calls to an evacuated domain, and against callers who wait or are refused
- * more than what is left of the targets explains. */
+/* Guards against calls to an evacuated domain, and against more queueing and refusals than the lost
+ * capacity explains. */
 static void
-test_callers (void **state)
+test_utility_for_callers (void **state)
 {
   static const struct
   {
     const char *name;
     SimPlan plan;
-    double least[2]; /* credit of each kind, as a share of what was asked */
+    double min_utility[2]; /* utility of each route, as a share of its requests */
   } cases[] = {
     { "one of three",
       { SITE, .faults = { { SIM_FAULT_EVACUATED, 0, 0, 1, 4000, 0, 0 } } },
@@ -56,21 +56,21 @@
   };
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
-    expect_utility (cases[i].name, &cases[i].plan, cases[i].least);
+    expect_utility (cases[i].name, &cases[i].plan, cases[i].min_utility);
 }
 
-/* How soon all daemons know. */
+/* Time until all daemons know of an evacuation. */
 
 static const char domain[] = "d1";
 enum
 {
-  WRITTEN = 40 * MR_VERSION_STRIDE,
-  MIDDLE = 73,
-  LARGE = 295,
+  FIRST_VERSION = 40 * MR_VERSION_STRIDE,
+  MEDIUM_FLEET = 73,
+  LARGE_FLEET = 295,
 };
 
 static void
-S_watcher_learns (Fleet *fleet, guint64 version)
+S_offer_to_watchers (Fleet *fleet, guint64 version)
 {
   for (guint i = 0; i < fleet->layout.count; i++)
     {
@@ -87,7 +87,7 @@
 static guint64 expected_version;
 
 static gboolean
-S_all_know (const Fleet *fleet)
+S_all_have_version (const Fleet *fleet)
 {
   for (guint i = 0; i < fleet->layout.count; i++)
     {
@@ -100,41 +100,41 @@
 }
 
 static void
-S_domain_without_store (Fleet *fleet)
+S_cut_domain_from_store (Fleet *fleet)
 {
   fleet->store_cut[1] = TRUE;
 }
 
 static void
-S_domains_apart (Fleet *fleet)
+S_cut_domains (Fleet *fleet)
 {
   fleet_cut (fleet, 0, 1, TRUE);
 }
 
 static void
-S_one_way (Fleet *fleet)
+S_cut_one_way (Fleet *fleet)
 {
   fleet_cut_one_way (fleet, 2, 0, TRUE);
 }
 
-/* Guards against daemons that go on sending to an evacuated domain: all know within the
- * second that is aimed at, whichever of them reach the store, and the last word counts. */
+/* Guards against daemons that go on sending to an evacuated domain: all know within the goal of one
+ * second, whichever of them reach the store, and the latest version wins. */
 static void
-test_all_know (void **state)
+test_propagation (void **state)
 {
   static const struct
   {
     const char *name;
     guint count;
-    void (*meanwhile) (Fleet *fleet);
+    void (*inject_fault) (Fleet *fleet);
     double seconds;
   } cases[] = {
     { "six", 6, NULL, 0.1 },
-    { "seventy-three", MIDDLE, NULL, 0.3 },
-    { "hundreds", LARGE, NULL, 0.5 },
-    { "a domain without the store", MIDDLE, S_domain_without_store, 0.5 },
-    { "two domains cut from each other", MIDDLE, S_domains_apart, 0.5 },
-    { "a cut one way", LARGE, S_one_way, 0.5 },
+    { "seventy-three", MEDIUM_FLEET, NULL, 0.3 },
+    { "hundreds", LARGE_FLEET, NULL, 0.5 },
+    { "a domain without the store", MEDIUM_FLEET, S_cut_domain_from_store, 0.5 },
+    { "two domains cut from each other", MEDIUM_FLEET, S_cut_domains, 0.5 },
+    { "a cut one way", LARGE_FLEET, S_cut_one_way, 0.5 },
   };
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -145,18 +145,18 @@
       Fleet *fleet = fleet_new (&layout);
       fleet_start_all (fleet, 300 * MR_MS, FALSE);
       assert_true (fleet_run_until (fleet, fleet_converged, 20 * MR_SECOND) < MR_NEVER);
-      if (cases[i].meanwhile)
-        cases[i].meanwhile (fleet);
+      if (cases[i].inject_fault)
+        cases[i].inject_fault (fleet);
       const guint64 versions[] = {
-        mr_evacuation_version (WRITTEN, FALSE),
-        mr_evacuation_version (WRITTEN, TRUE),
-        mr_evacuation_version (WRITTEN + MR_VERSION_STRIDE, FALSE),
+        mr_evacuation_version (FIRST_VERSION, FALSE),
+        mr_evacuation_version (FIRST_VERSION, TRUE),
+        mr_evacuation_version (FIRST_VERSION + MR_VERSION_STRIDE, FALSE),
       };
       for (gsize v = 0; v < G_N_ELEMENTS (versions); v++)
         {
           expected_version = versions[v];
-          S_watcher_learns (fleet, versions[v]);
-          MrTime took = fleet_run_until (fleet, S_all_know, 10 * MR_SECOND);
+          S_offer_to_watchers (fleet, versions[v]);
+          MrTime took = fleet_run_until (fleet, S_all_have_version, 10 * MR_SECOND);
           print_message ("%s, version %u: %.2f s\n", cases[i].name, (guint) v,
                          (double) took / MR_SECOND);
           if (took > (MrTime) (cases[i].seconds * MR_SECOND))
@@ -171,8 +171,8 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_versions),
-    cmocka_unit_test (test_callers),
-    cmocka_unit_test (test_all_know),
+    cmocka_unit_test (test_utility_for_callers),
+    cmocka_unit_test (test_propagation),
   };
   mr_log_set_level (MR_LOG_ERROR);
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/test_withdrawn.c
+++ b/test/test_withdrawn.c
@@ -1,10 +1,11 @@
-/* Targets whose entries are removed in the moment of their end.
+/* Guards against crashes that are not counted because the target's entry is removed at the same
+ * moment.
  *
- * What callers saw: in a soak a content that had ended three searchers reached four more, over a
- * loss of all relays.  The entry of a searcher that ends is removed at once there; the relay
- * took the searcher for a leaving one, whose end is planned, and its trial's end for no
- * evidence.  The request's line (E1703) says cause "suspect" and its call "broken", E1403 "no
- * longer listed" stands in the same millisecond, and no E1409 follows. */
+ * The relay took such a target for one that was stopped as planned, so that the crash of a trial
+ * there was no evidence: a content that had crashed three searchers reached four more.  In the log,
+ * the request's line (E1703) has cause "suspect" and a broken call, E1403 "no longer listed" is in
+ * the same millisecond, and no E1409 follows.  Seen in a soak test, after the loss of all relays.
+ */
 
 #include "relay_site.h"
 
@@ -19,11 +20,11 @@
 
 enum
 {
-  LATE_MOST = 3, /* calls of a content that has ended three targets */
+  LATE_CALLS_MAX = 3, /* calls of a content that has crashed three targets */
 };
 
 static void
-test_ends_of_withdrawn_targets_count (void **state)
+test_crashes_of_removed_targets_count (void **state)
 {
   guint failed = 0;
   (void) state;
@@ -39,9 +40,9 @@
       SimResult r;
       plan.seed = seed;
       sim_run (&plan, &r);
-      printf ("seed %u: ended %u, calls after the news %u\n", seed, r.poison_crashes,
+      printf ("seed %u: %u targets crashed, %u calls too late\n", seed, r.poison_crashes,
               r.poison_calls_late);
-      failed += r.poison_calls_late > LATE_MOST;
+      failed += r.poison_calls_late > LATE_CALLS_MAX;
     }
   assert_int_equal (failed, 0);
 }
@@ -50,6 +51,6 @@
 main (void)
 {
   mr_log_set_level (MR_LOG_ERROR);
-  const struct CMUnitTest tests[] = { cmocka_unit_test (test_ends_of_withdrawn_targets_count) };
+  const struct CMUnitTest tests[] = { cmocka_unit_test (test_crashes_of_removed_targets_count) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
