--- a/src/concurrency_limit.c
+++ b/src/concurrency_limit.c
@@ -1,24 +1,23 @@
 #include "concurrency_limit.h"
 
-/* Share kept at a decrease. */
-static const double CUT = 0.7;
-/* Shed answers within this of a decrease belong to the same overload. */
-static const MrTime CUT_GAP = 20 * MR_MS;
-/* Growth in calls for each `current` successes. */
-static const double STEP = 0.5;
+static const double DECREASE_FACTOR = 0.7;
+/* Calls shed within this time of a decrease are due to the same overload. */
+static const MrTime DECREASE_INTERVAL = 20 * MR_MS;
+/* Growth, in calls, per `current` successes. */
+static const double INCREASE = 0.5;
 
 void
-mr_concurrency_limit_init (MrConcurrencyLimit *limit, double most)
+mr_concurrency_limit_init (MrConcurrencyLimit *limit, double max)
 {
-  *limit = (MrConcurrencyLimit){ .current = MAX (most, 1), .max = MAX (most, 1) };
+  *limit = (MrConcurrencyLimit){ .current = MAX (max, 1), .max = MAX (max, 1) };
 }
 
 void
-mr_concurrency_limit_set_max (MrConcurrencyLimit *limit, double most)
+mr_concurrency_limit_set_max (MrConcurrencyLimit *limit, double max)
 {
-  bool at_most = limit->current >= limit->max;
-  limit->max = MAX (most, 1);
-  if (at_most || limit->current > limit->max)
+  bool was_at_max = limit->current >= limit->max;
+  limit->max = MAX (max, 1);
+  if (was_at_max || limit->current > limit->max)
     limit->current = limit->max;
 }
 
@@ -31,8 +30,8 @@
 void
 mr_concurrency_limit_on_success (MrConcurrencyLimit *limit)
 {
-  /* Slow start doubles for each round of calls; after it, a half step. */
-  double gain = limit->slow_start ? 1.0 : STEP / limit->current;
+  /* Slow start doubles the limit per round of calls; afterwards it grows by half a call. */
+  double gain = limit->slow_start ? 1.0 : INCREASE / limit->current;
   limit->current = MIN (limit->current + gain, limit->max);
   if (limit->current >= limit->max)
     limit->slow_start = false;
@@ -42,10 +41,10 @@
 mr_concurrency_limit_on_shed (MrConcurrencyLimit *limit, MrTime now)
 {
   limit->slow_start = false;
-  if (now - limit->last_decrease_at < CUT_GAP)
+  if (now - limit->last_decrease_at < DECREASE_INTERVAL)
     return;
   limit->last_decrease_at = now;
-  limit->current = MAX (1, limit->current * CUT);
+  limit->current = MAX (1, limit->current * DECREASE_FACTOR);
 }
 
 void
--- a/src/concurrency_limit.h
+++ b/src/concurrency_limit.h
@@ -1,7 +1,9 @@
-/* How many calls one target gets at once from this daemon.
+/* Adaptive limit on this daemon's concurrent calls to one target.
  *
- * Starts at our share of the target's slots, falls when the target sheds,
- * returns step by step.  A cold target starts at one call and doubles. */
+ * The limit starts at this daemon's share of the target's slots, decreases
+ * multiplicatively when the target sheds a call, and grows additively with
+ * successful calls.  After a slow start request it begins at one call and grows
+ * exponentially. */
 #pragma once
 
 #include "clock.h"
@@ -10,19 +12,19 @@
 typedef struct
 {
   double current;
-  double max;              /* share of the slots, or the document's bound */
-  bool slow_start;         /* slow start */
-  MrTime last_decrease_at; /* last decrease */
+  double max;      /* this daemon's share of the slots, or the configured limit */
+  bool slow_start; /* growing exponentially */
+  MrTime last_decrease_at;
 } MrConcurrencyLimit;
 
-void mr_concurrency_limit_init (MrConcurrencyLimit *limit, double most);
-void mr_concurrency_limit_set_max (MrConcurrencyLimit *limit, double most);
+void mr_concurrency_limit_init (MrConcurrencyLimit *limit, double max);
+void mr_concurrency_limit_set_max (MrConcurrencyLimit *limit, double max);
 
-/* Calls that may be in flight now; at least 1. */
+/* Calls that may be in flight; at least 1. */
 guint mr_concurrency_limit_calls (const MrConcurrencyLimit *limit);
 
 void mr_concurrency_limit_on_success (MrConcurrencyLimit *limit);
 void mr_concurrency_limit_on_shed (MrConcurrencyLimit *limit, MrTime now);
 
-/* The target has just come (back) up: its caches are cold. */
+/* Restarts from one call: the target has just come up, so its caches are cold. */
 void mr_concurrency_limit_slow_start (MrConcurrencyLimit *limit);
--- a/src/health.c
+++ b/src/health.c
@@ -2,24 +2,24 @@
 
 #include "safeguard.h"
 
-static const MrTime PROBE_GAP_FIRST = 100 * MR_MS;
-static const MrTime PROBE_GAP_MAX = 2 * MR_SECOND;
-/* Failures in a row that take a target out of use. */
-static const unsigned FAILURES = 3;
-/* Lost connections within LOST_WINDOW that make all others doubtful. */
-static const unsigned LOST = 2;
-static const MrTime LOST_WINDOW = 5 * MR_SECOND;
-/* A list that lags may call a target live that has just told us it drains; its
- * own word stands for this long. */
-static const MrTime LEAVING_HOLD = 30 * MR_SECOND;
+static const MrTime PROBE_INTERVAL_MIN = 100 * MR_MS;
+static const MrTime PROBE_INTERVAL_MAX = 2 * MR_SECOND;
+/* Consecutive failures after which a target is DOWN. */
+static const unsigned MAX_CONSECUTIVE_FAILURES = 3;
+/* Lost connections within LOST_CONNECTIONS_WINDOW after which the others are replaced. */
+static const unsigned LOST_CONNECTIONS_THRESHOLD = 2;
+static const MrTime LOST_CONNECTIONS_WINDOW = 5 * MR_SECOND;
+/* A stale list may show a target as live that has just refused a call because it is
+ * draining.  The target's own response takes precedence for this long. */
+static const MrTime LEAVING_HOLD_TIME = 30 * MR_SECOND;
 
 static MrHealthAction
-S_suspect (MrHealth *health, bool silent)
+S_set_suspect (MrHealth *health, bool by_timeout)
 {
   if (health->state != MR_HEALTH_UP || health->probing)
     return MR_HEALTH_ACTION_NONE;
   health->state = MR_HEALTH_SUSPECT;
-  health->suspected_by_timeout = silent;
+  health->suspected_by_timeout = by_timeout;
   health->probing = true;
   return MR_HEALTH_ACTION_PROBE;
 }
@@ -40,48 +40,49 @@
 }
 
 static void
-S_down (MrHealth *health, MrTime now)
+S_set_down (MrHealth *health, MrTime now)
 {
-  MrTime gap = health->probe_interval * 2;
-  health->probe_interval = CLAMP (gap, PROBE_GAP_FIRST, PROBE_GAP_MAX);
+  MrTime interval = health->probe_interval * 2;
+  health->probe_interval = CLAMP (interval, PROBE_INTERVAL_MIN, PROBE_INTERVAL_MAX);
   health->next_probe_at = now + health->probe_interval;
   health->state = MR_HEALTH_DOWN;
 }
 
-/* A target that fails fast looks idle and draws calls that others would answer;
- * its health page may still say "up".  Out of use it comes back by a probe, with
- * one call at first, and a single failure then takes it out for twice as long. */
+/* A target that fails fast looks idle, so load balancing would prefer it, and its health
+ * endpoint may still report "up".  It is taken out of use until a probe succeeds and then
+ * restarts with one call.  The failure count is kept until a success, so a single further
+ * failure takes it out again, for twice as long. */
 void
 mr_health_on_failure (MrHealth *health, MrTime now)
 {
   health->last_response_at = now;
   health->consecutive_failures++;
-  if (health->state == MR_HEALTH_UP && health->consecutive_failures >= FAILURES)
-    S_down (health, now);
+  if (health->state == MR_HEALTH_UP && health->consecutive_failures >= MAX_CONSECUTIVE_FAILURES)
+    S_set_down (health, now);
 }
 
 MrHealthAction
 mr_health_on_timeout (MrHealth *health, MrTime started, MrTime now)
 {
   (void) now;
-  /* Other connections have been answered since: only this one is lost, or the
-   * call is slow.  The target keeps its work; the connection is closed. */
+  /* The target has responded on another connection since, so either this connection is
+   * lost or the call is slow.  The target stays in use. */
   if (health->last_response_at > started)
     return MR_HEALTH_ACTION_NONE;
-  return S_suspect (health, true);
+  return S_set_suspect (health, true);
 }
 
-/* What loses one connection mostly loses all that were open then; left to be
- * found one by one, each would cost a call its time. */
+/* A fault that loses one connection usually loses all that were open at the time.  They
+ * are replaced together, as otherwise each would be detected by the timeout of a call. */
 MrHealthAction
 mr_health_on_connection_lost (MrHealth *health, MrTime started, MrTime now)
 {
-  if (now - health->last_lost_at > LOST_WINDOW)
+  if (now - health->last_lost_at > LOST_CONNECTIONS_WINDOW)
     health->lost_connections = 0;
   health->last_lost_at = now;
   health->lost_connections++;
   MrHealthAction action = mr_health_on_timeout (health, started, now);
-  if (action != MR_HEALTH_ACTION_NONE || health->lost_connections < LOST)
+  if (action != MR_HEALTH_ACTION_NONE || health->lost_connections < LOST_CONNECTIONS_THRESHOLD)
     return action;
   health->lost_connections = 0;
   return health->state == MR_HEALTH_UP ? MR_HEALTH_ACTION_RECONNECT : MR_HEALTH_ACTION_NONE;
@@ -91,19 +92,19 @@
 mr_health_on_connection_error (MrHealth *health, MrTime now)
 {
   (void) now;
-  return S_suspect (health, false);
+  return S_set_suspect (health, false);
 }
 
 static MrHealthAction
-S_up (MrHealth *health)
+S_set_up (MrHealth *health)
 {
-  MrHealthState before = health->state;
-  bool silent = health->suspected_by_timeout;
+  MrHealthState previous = health->state;
+  bool by_timeout = health->suspected_by_timeout;
   health->state = MR_HEALTH_UP;
   health->suspected_by_timeout = false;
-  if (before == MR_HEALTH_SUSPECT)
-    return silent ? MR_HEALTH_ACTION_RECONNECT : MR_HEALTH_ACTION_NONE;
-  return before == MR_HEALTH_DOWN ? MR_HEALTH_ACTION_SLOW_START : MR_HEALTH_ACTION_NONE;
+  if (previous == MR_HEALTH_SUSPECT)
+    return by_timeout ? MR_HEALTH_ACTION_RECONNECT : MR_HEALTH_ACTION_NONE;
+  return previous == MR_HEALTH_DOWN ? MR_HEALTH_ACTION_SLOW_START : MR_HEALTH_ACTION_NONE;
 }
 
 MrHealthAction
@@ -116,9 +117,9 @@
   if (answered)
     {
       health->last_response_at = now;
-      return S_up (health);
+      return S_set_up (health);
     }
-  S_down (health, now);
+  S_set_down (health, now);
   return MR_HEALTH_ACTION_NONE;
 }
 
@@ -132,7 +133,7 @@
 MrHealthAction
 mr_health_on_live (MrHealth *health, MrTime now)
 {
-  if (health->state != MR_HEALTH_LEAVING || now - health->leaving_since < LEAVING_HOLD)
+  if (health->state != MR_HEALTH_LEAVING || now - health->leaving_since < LEAVING_HOLD_TIME)
     return MR_HEALTH_ACTION_NONE;
   health->state = MR_HEALTH_DOWN;
   health->probing = true;
@@ -151,8 +152,8 @@
 bool
 mr_health_usable (const MrHealth *health)
 {
-  /* New work on a draining target is cut off when it goes; its first sign of
-   * leaving ends new work at once, well under the promised few seconds. */
+  /* Calls still running when a draining target exits are lost, so new calls stop with
+   * the first sign of leaving, well within the few seconds that the API promises. */
   if (health->state == MR_HEALTH_LEAVING)
     return !MR_SAFEGUARD (MR_GUARD_LEAVING);
   return health->state == MR_HEALTH_UP;
--- a/src/health.h
+++ b/src/health.h
@@ -1,8 +1,9 @@
-/* What this daemon's own calls say of one target.
+/* Health of one target, derived from the outcome of this daemon's own calls.
  *
- * Health and load endpoints lag or mislead, so they decide nothing.  A call
- * that stays unanswered may mean a dead target or a connection that something
- * between the two ends has lost; a probe on a new connection tells which. */
+ * Health and load endpoints are not consulted, because what they report can be
+ * stale or wrong.  An unanswered call means either that the target is dead or
+ * that its connection was lost on the way (for example, a middlebox dropped its
+ * state).  A probe on a new connection distinguishes the two. */
 #pragma once
 
 #include "clock.h"
@@ -12,54 +13,57 @@
 {
   MR_HEALTH_UP,
   MR_HEALTH_SUSPECT, /* being probed; gets no new calls */
-  MR_HEALTH_DOWN,    /* probed now and then */
-  MR_HEALTH_LEAVING, /* drains; gets no new calls, its calls run out */
+  MR_HEALTH_DOWN,    /* probed at growing intervals; gets no new calls */
+  MR_HEALTH_LEAVING, /* draining; gets no new calls, open calls may complete */
 } MrHealthState;
 
-/* What the owner of the target has to do after an event. */
+/* What the owner of the target must do after an event. */
 typedef enum
 {
   MR_HEALTH_ACTION_NONE,
   MR_HEALTH_ACTION_PROBE,      /* probe on a new connection now */
-  MR_HEALTH_ACTION_RECONNECT,  /* old connections are lost: replace them */
-  MR_HEALTH_ACTION_SLOW_START, /* back after an absence: start slowly */
+  MR_HEALTH_ACTION_RECONNECT,  /* replace the existing connections; they are presumed lost */
+  MR_HEALTH_ACTION_SLOW_START, /* recovered from DOWN: raise its load gradually */
 } MrHealthAction;
 
 typedef struct
 {
   MrHealthState state;
   bool probing;
-  bool suspected_by_timeout;     /* the suspicion came from an unanswered call */
-  bool probe_failed;             /* the last probe found nobody there */
-  MrTime last_response_at;       /* last answer of any kind */
-  MrTime next_probe_at;          /* next probe while down */
-  MrTime probe_interval;         /* between probes; grows while down */
-  MrTime leaving_since;          /* when it was first said to leave */
-  unsigned consecutive_failures; /* wrong or failed answers in a row */
-  unsigned lost_connections;     /* connections given up lately */
+  bool suspected_by_timeout;     /* SUSPECT because of an unanswered call */
+  bool probe_failed;             /* result of the last probe */
+  MrTime last_response_at;       /* last response of any kind, errors included */
+  MrTime next_probe_at;          /* while DOWN */
+  MrTime probe_interval;         /* while DOWN; doubles with each failed probe */
+  MrTime leaving_since;          /* last report that it is leaving */
+  unsigned consecutive_failures; /* error responses since the last success */
+  unsigned lost_connections;     /* recent; see mr_health_on_connection_lost () */
   MrTime last_lost_at;
 } MrHealth;
 
-/* A right answer to a call. */
+/* A call succeeded. */
 MrHealthAction mr_health_on_success (MrHealth *health, MrTime now);
-/* Word of it that is no answer: a refusal, a cancellation confirmed. */
+/* The target responded, but not with a result: it refused a call or confirmed a cancellation. */
 void mr_health_on_response (MrHealth *health, MrTime now);
-/* It answered with an error, or with something that was not asked for. */
+/* The target responded with an error or an invalid response. */
 void mr_health_on_failure (MrHealth *health, MrTime now);
-/* A call begun at @started stays unanswered. */
+/* A call sent at @started has timed out without a response. */
 MrHealthAction mr_health_on_timeout (MrHealth *health, MrTime started, MrTime now);
-/* A call begun at @started got neither an answer nor a word on its cancellation;
- * its connection was closed. */
+/* Neither a call sent at @started nor its cancellation got a response, so its connection was
+ * closed. */
 MrHealthAction mr_health_on_connection_lost (MrHealth *health, MrTime started, MrTime now);
-/* A connection was refused or broken. */
+/* A connection was refused or reset. */
 MrHealthAction mr_health_on_connection_error (MrHealth *health, MrTime now);
 MrHealthAction mr_health_on_probe_result (MrHealth *health, bool answered, MrTime now);
+/* The target refused a call because it is draining, or is listed as leaving or removed. */
 void mr_health_on_leaving (MrHealth *health, MrTime now);
-/* The list of VMs says it is live again. */
+/* The list of VMs no longer shows the target as leaving. */
 MrHealthAction mr_health_on_live (MrHealth *health, MrTime now);
+/* Call periodically; requests a probe when one is due. */
 MrHealthAction mr_health_tick (MrHealth *health, MrTime now);
 
+/* TRUE if the target may get new calls. */
 bool mr_health_usable (const MrHealth *health);
-/* TRUE if it is being probed because a connection broke: its process may just be ending. */
+/* TRUE while the target is probed after a connection error.  Its process may be exiting. */
 bool mr_health_suspected_by_connection_error (const MrHealth *health);
 const char *mr_health_state_name (MrHealthState state);
