--- a/src/resend_budget.c
+++ b/src/resend_budget.c
@@ -2,33 +2,33 @@
 
 #include "safeguard.h"
 
-/* Buckets that make up one window; the rest of the ring is spare. */
+/* Buckets per window; the rest of the ring is spare. */
 enum
 {
   BUCKETS_IN_WINDOW = 20,
 };
 
-/* Starts of one process in a window, as a rule: it takes a second or two from its end to the
- * next; and at most. */
-static const double STARTS_USUAL = 5;
-static const double STARTS_MOST = 10;
+/* Starts of one process within a window: typically, as a restart takes one to two seconds, and
+ * at most. */
+static const double STARTS_TYPICAL = 5;
+static const double STARTS_MAX = 10;
 
 static void
-S_advance (MrResendBudget *budget, const MrResendBudgetConfig *terms, MrTime now)
+S_advance_buckets (MrResendBudget *budget, const MrResendBudgetConfig *config, MrTime now)
 {
-  gint64 bucket = now / (terms->window / BUCKETS_IN_WINDOW);
-  gint64 steps = MIN (bucket - budget->bucket, (gint64) MR_RESEND_BUDGET_BUCKETS);
-  for (gint64 i = 0; i < steps; i++)
+  gint64 bucket = now / (config->window / BUCKETS_IN_WINDOW);
+  gint64 elapsed = MIN (bucket - budget->bucket, (gint64) MR_RESEND_BUDGET_BUCKETS);
+  for (gint64 i = 0; i < elapsed; i++)
     {
-      gint64 place = (bucket - i) % MR_RESEND_BUDGET_BUCKETS;
-      budget->requests[place] = 0;
-      budget->hedges_and_retries[place] = 0;
+      gint64 index = (bucket - i) % MR_RESEND_BUDGET_BUCKETS;
+      budget->requests[index] = 0;
+      budget->hedges_and_retries[index] = 0;
     }
   budget->bucket = MAX (bucket, budget->bucket);
 }
 
 static guint
-S_sum (const guint *counts, gint64 newest, guint buckets)
+S_sum_buckets (const guint *counts, gint64 newest, guint buckets)
 {
   guint sum = 0;
   for (guint i = 0; i < buckets; i++)
@@ -36,45 +36,48 @@
   return sum;
 }
 
-/* What a process may spend before it has earned anything: with nothing, parts that one target
- * refuses are left out of the first answers.  @own: its share of the allowance. */
+/* What a process may spend right after its start.  Without it, the first searches would omit
+ * shards whose first target refuses the call.  It is small enough that a process that restarts
+ * repeatedly stays within @own_allowance, its share of the allowance, per window. */
 static double
-S_at_start (double own)
+S_startup_allowance (double own_allowance)
 {
-  if (own < STARTS_USUAL)
+  if (own_allowance < STARTS_TYPICAL)
     return 0;
-  return MAX (own / STARTS_MOST, 1);
+  return MAX (own_allowance / STARTS_MAX, 1);
 }
 
 void
-mr_resend_budget_add_request (MrResendBudget *budget, const MrResendBudgetConfig *terms, MrTime now)
+mr_resend_budget_add_request (MrResendBudget *budget,
+                              const MrResendBudgetConfig *config,
+                              MrTime now)
 {
-  S_advance (budget, terms, now);
+  S_advance_buckets (budget, config, now);
   budget->requests[budget->bucket % MR_RESEND_BUDGET_BUCKETS]++;
 }
 
 bool
 mr_resend_budget_try_spend (MrResendBudget *budget,
-                            const MrResendBudgetConfig *terms,
+                            const MrResendBudgetConfig *config,
                             MrTime now,
-                            double share)
+                            double fraction)
 {
-  /* An outage of a shard makes a retry of every call; without a hard bound
-   * the targets that still work get twice their load and fail too. */
+  /* During an outage of a shard every call is retried.  Without a hard limit the targets
+   * that still work would get twice their load and fail as well. */
   if (!MR_SAFEGUARD (MR_GUARD_RETRY_BUDGET))
     return true;
-  S_advance (budget, terms, now);
-  /* One bucket more of what was spent and one less of what was earned: the
-   * window slides, the buckets don't. */
-  double spent = S_sum (budget->hedges_and_retries, budget->bucket, BUCKETS_IN_WINDOW + 1);
-  double requests = S_sum (budget->requests, budget->bucket, BUCKETS_IN_WINDOW);
-  /* A process that was killed and started again knows nothing of what it spent
-   * before; its share of the allowance comes back over one window. */
-  double grown = CLAMP ((double) (now - terms->started_at) / (double) terms->window, 0, 1);
-  double own = terms->allowance * terms->share;
-  double allowed = (terms->ratio * requests + own * grown) * terms->margin;
-  allowed = MAX (allowed, S_at_start (own));
-  if (spent + 1 > allowed * share)
+  S_advance_buckets (budget, config, now);
+  /* The window rarely starts at a bucket boundary.  To stay within the budget in every
+   * window, the oldest, partial bucket counts as spent but not as earned. */
+  double spent = S_sum_buckets (budget->hedges_and_retries, budget->bucket, BUCKETS_IN_WINDOW + 1);
+  double requests = S_sum_buckets (budget->requests, budget->bucket, BUCKETS_IN_WINDOW);
+  /* A restarted process does not know what it spent before, so its share of the allowance
+   * accrues over one window. */
+  double accrued = CLAMP ((double) (now - config->started_at) / (double) config->window, 0, 1);
+  double own_allowance = config->allowance * config->share;
+  double allowed = (config->ratio * requests + own_allowance * accrued) * config->margin;
+  allowed = MAX (allowed, S_startup_allowance (own_allowance));
+  if (spent + 1 > allowed * fraction)
     return false;
   budget->hedges_and_retries[budget->bucket % MR_RESEND_BUDGET_BUCKETS]++;
   return true;
--- a/src/resend_budget.h
+++ b/src/resend_budget.h
@@ -1,7 +1,8 @@
-/* Bound on hedges and retries of one service over a sliding window, for a fleet whose
- * members do not ask each other: each member spends @ratio of its own requests
- * and its share of a fixed allowance, so that the sum over all members keeps
- * the bound of the fleet. */
+/* Budget for the hedges and retries of one service over a sliding window.
+ *
+ * The budget holds for the whole fleet without coordination between its daemons:
+ * each spends at most @ratio of its own requests plus its share of a fixed
+ * allowance, so that the sum over all daemons stays within the fleet's budget. */
 #pragma once
 
 #include "clock.h"
@@ -12,37 +13,37 @@
   MR_RESEND_BUDGET_BUCKETS = 24,
 };
 
-/* Margin of a fleet: the rest covers requests that a member counted and its
- * callers gave up before sending. */
+/* Part of the budget that a daemon in a fleet uses.  The rest makes up for requests that
+ * a daemon counted but whose callers gave up before they were sent. */
 #define MR_RESEND_BUDGET_MARGIN 0.85
 
 typedef struct
 {
-  MrTime window;    /* in which the bound holds */
-  double ratio;     /* hedges and retries for each request */
-  double allowance; /* of the whole fleet, beside the ratio */
-  double share;     /* of the allowance that is this member's, 0 to 1 */
-  double margin;    /* part of all this that is spent at most, 0 to 1 */
-  /* Start of this process: one before it may have spent its share, which comes
-   * back over one window. */
+  MrTime window;
+  double ratio;     /* hedges and retries per request */
+  double allowance; /* of the whole fleet, in addition to the ratio */
+  double share;     /* this daemon's share of the allowance, 0 to 1 */
+  double margin;    /* fraction of the budget that may be spent, 0 to 1 */
+  /* Start of this process.  The process before it may have spent its share of the
+   * allowance, so the share becomes available linearly over one window. */
   MrTime started_at;
 } MrResendBudgetConfig;
 
 typedef struct
 {
-  gint64 bucket; /* newest, counted from 0 on the clock */
+  gint64 bucket; /* number of the newest bucket: time divided by the bucket length */
   guint requests[MR_RESEND_BUDGET_BUCKETS];
   guint hedges_and_retries[MR_RESEND_BUDGET_BUCKETS];
 } MrResendBudget;
 
-/* Counts a request of the service. */
+/* Counts a request to the service. */
 void mr_resend_budget_add_request (MrResendBudget *budget,
-                                   const MrResendBudgetConfig *terms,
+                                   const MrResendBudgetConfig *config,
                                    MrTime now);
 
-/* Takes one hedge or retry out of the budget; false if that would go over @share
- * (0 to 1) of what is allowed. */
+/* Counts a hedge or retry if that keeps within @fraction (0 to 1) of the budget; otherwise
+ * returns FALSE. */
 bool mr_resend_budget_try_spend (MrResendBudget *budget,
-                                 const MrResendBudgetConfig *terms,
+                                 const MrResendBudgetConfig *config,
                                  MrTime now,
-                                 double share);
+                                 double fraction);
--- a/src/soft_deadline.c
+++ b/src/soft_deadline.c
@@ -1,51 +1,55 @@
 #include "soft_deadline.h"
 
-/* For the caller's connection, and for the way of the request and of its answer. */
+/* One to connect, one for the request and its response. */
 static const int ROUND_TRIPS = 2;
 static const MrTime ROUND_TRIP_DEFAULT = 6 * MR_MS;
-/* Until something is measured, and bounds for what is. */
-static const MrTime RESERVE_FIRST = 12 * MR_MS;
-static const MrTime RESERVE_LEAST = 4 * MR_MS;
-static const MrTime RESERVE_MOST = 30 * MR_MS;
-/* Weight of a new measurement, and how many times the mean deviation are kept. */
+/* Estimate before the first measurement, and limits of later estimates. */
+static const MrTime OVERHEAD_DEFAULT = 12 * MR_MS;
+static const MrTime OVERHEAD_MIN = 4 * MR_MS;
+static const MrTime OVERHEAD_MAX = 30 * MR_MS;
+/* Weight of a new sample, and how many deviations the estimate lies above the mean. */
 static const double WEIGHT = 0.1;
-static const double SPREADS = 2;
+static const double DEVIATIONS = 2;
 
 void
-mr_response_overhead_add (MrResponseOverhead *finish, MrTime took)
+mr_response_overhead_add (MrResponseOverhead *overhead, MrTime sample)
 {
-  double us = (double) MAX (took, 1);
-  if (finish->mean == 0)
+  double sample_us = (double) MAX (sample, 1);
+  if (overhead->mean == 0)
     {
-      finish->mean = (double) RESERVE_FIRST / (1 + SPREADS);
-      finish->deviation = finish->mean;
+      overhead->mean = (double) OVERHEAD_DEFAULT / (1 + DEVIATIONS);
+      overhead->deviation = overhead->mean;
     }
-  double off = us - finish->mean;
-  finish->mean += WEIGHT * off;
-  finish->deviation += WEIGHT * (ABS (off) - finish->deviation);
+  double error = sample_us - overhead->mean;
+  overhead->mean += WEIGHT * error;
+  overhead->deviation += WEIGHT * (ABS (error) - overhead->deviation);
 }
 
 MrTime
-mr_response_overhead_estimate (const MrResponseOverhead *finish)
+mr_response_overhead_estimate (const MrResponseOverhead *overhead)
 {
-  if (finish->mean == 0)
-    return RESERVE_FIRST;
-  return CLAMP ((MrTime) (finish->mean + SPREADS * finish->deviation), RESERVE_LEAST, RESERVE_MOST);
+  if (overhead->mean == 0)
+    return OVERHEAD_DEFAULT;
+  return CLAMP ((MrTime) (overhead->mean + DEVIATIONS * overhead->deviation), OVERHEAD_MIN,
+                OVERHEAD_MAX);
 }
 
-/* What the caller has spent: on an address, a connection, an attempt before this one.  More
- * than half of the aim may be another caller's shorter deadline, and says nothing. */
+/* Time that the caller spent before the request arrived: on name resolution, connecting, an
+ * earlier attempt.  It is inferred from the deadline, on the assumption that the caller counts
+ * down from the route's time limit.  More than half of the latency goal is ignored, since the
+ * caller may have chosen a shorter deadline of its own. */
 static MrTime
-S_spent (const MrSoftDeadlineParams *terms)
+S_time_spent (const MrSoftDeadlineParams *params)
 {
-  MrTime spent = terms->time_limit - terms->remaining;
-  return spent > 0 && spent <= terms->latency_goal / 2 ? spent : 0;
+  MrTime spent = params->time_limit - params->remaining;
+  return spent > 0 && spent <= params->latency_goal / 2 ? spent : 0;
 }
 
 MrTime
-mr_soft_deadline (const MrSoftDeadlineParams *terms)
+mr_soft_deadline (const MrSoftDeadlineParams *params)
 {
-  MrTime round_trip = terms->round_trip ? terms->round_trip : ROUND_TRIP_DEFAULT;
-  MrTime ways = MAX (ROUND_TRIPS * round_trip, S_spent (terms) + round_trip);
-  return MAX (terms->latency_goal - ways - terms->response_overhead, terms->latency_goal / 2);
+  MrTime round_trip = params->round_trip ? params->round_trip : ROUND_TRIP_DEFAULT;
+  MrTime before_and_after = MAX (ROUND_TRIPS * round_trip, S_time_spent (params) + round_trip);
+  return MAX (params->latency_goal - before_and_after - params->response_overhead,
+              params->latency_goal / 2);
 }
--- a/src/soft_deadline.h
+++ b/src/soft_deadline.h
@@ -1,30 +1,34 @@
-/* How long enough parts of a search are waited for the rest, so that the answer is with its
- * caller in time: from the route's aim goes what the caller had spent before the request
- * arrived, the answer's way back, and what lies between the decision to answer and the last
- * byte, which each daemon measures by itself.  Pure decisions. */
+/* Soft deadline of a search: once enough shards have answered, how long to wait for the rest.
+ *
+ * It is set so that the response reaches the caller within the route's latency goal.  From the
+ * goal are subtracted the time that the caller spent before the request arrived, the network
+ * time of the response, and the response overhead, which each daemon measures itself.  No
+ * function here reads a clock. */
 #pragma once
 
 #include "clock.h"
 
-/* Time from when an answer is due to its last byte at the socket. */
+/* Running estimate of the time from the decision to respond until the last byte is written to
+ * the socket, in microseconds. */
 typedef struct
 {
-  double mean; /* us; 0: nothing measured yet */
-  double deviation;
+  double mean;      /* 0: nothing measured yet */
+  double deviation; /* mean absolute deviation */
 } MrResponseOverhead;
 
-void mr_response_overhead_add (MrResponseOverhead *finish, MrTime took);
-/* What most answers keep within. */
-MrTime mr_response_overhead_estimate (const MrResponseOverhead *finish);
+void mr_response_overhead_add (MrResponseOverhead *overhead, MrTime sample);
+/* An upper estimate, which most responses stay within. */
+MrTime mr_response_overhead_estimate (const MrResponseOverhead *overhead);
 
 typedef struct
 {
   MrTime latency_goal;
-  MrTime time_limit; /* of the route, which a caller who keeps to it counts down from */
-  MrTime remaining;  /* until the caller's deadline, when the request arrived */
-  MrTime round_trip; /* to the caller; 0: not known */
-  MrTime response_overhead;
+  MrTime time_limit;        /* of the route; the caller's default deadline */
+  MrTime remaining;         /* until the caller's deadline, when the request arrived */
+  MrTime round_trip;        /* to the caller; 0: unknown */
+  MrTime response_overhead; /* estimate */
 } MrSoftDeadlineParams;
 
-/* From the arrival; half of the aim at least. */
-MrTime mr_soft_deadline (const MrSoftDeadlineParams *terms);
+/* Returns the time from the request's arrival to the soft deadline, at least half of the
+ * latency goal. */
+MrTime mr_soft_deadline (const MrSoftDeadlineParams *params);
