--- a/src/cold_share.h
+++ b/src/cold_share.h
@@ -1,11 +1,12 @@
-/* Calls to cold targets: what one bears a second is shared out between all daemons, which do
- * not ask each other.
+/* Rate limit for calls to cold targets.
  *
- * Each failure domain has the same part, whether it is reached or not.  In a domain the daemons
- * that callers are told of share it: those that have been named for long enough that one that
- * is no longer named has noticed, and that see more than half of their domain alive.  A daemon
- * that is alone, has just started or was cut off has no part; its calls go elsewhere.  Pure
- * decisions: time and members come as arguments. */
+ * The call rate that a cold target can take from all daemons together is divided between them
+ * without coordination.  Each failure domain gets an equal part, whether it is reachable or not.
+ * Within a domain the part is divided equally between the entry daemons (those that callers are
+ * directed to) that have been entries for long enough that a daemon which was replaced as an
+ * entry has noticed, and that see more than half of their domain's members alive.  A daemon that
+ * is isolated, partitioned or has just started has a share of zero; its requests use other
+ * targets.  Time and membership are passed in. */
 #pragma once
 
 #include "clock.h"
@@ -13,39 +14,41 @@
 
 typedef struct _MrColdShare MrColdShare;
 
-/* @domains: how many failure domains there are at least, as far as settings say; 0: unknown. */
-MrColdShare *mr_cold_share_new (const char *domain, guint domains);
+/* @min_domains: number of failure domains known from the settings; 0: unknown. */
+MrColdShare *mr_cold_share_new (const char *domain, guint min_domains);
 void mr_cold_share_free (MrColdShare *share);
 
-/* A member as it is now; each change of one is to be told. */
+/* Must be called with each change of a member's state. */
 void mr_cold_share_on_member (MrColdShare *share, MrTime now, const MrMember *member);
 
-/* This daemon's part now, 0 to 1, as members and plan stand. */
+/* Returns this daemon's share, 0 to 1, for the current members and entry plan. */
 double mr_cold_share_update (MrColdShare *share,
                              MrTime now,
                              const MrRoster *roster,
                              const MrEntryPlan *plan);
 
-/* Calls that a daemon with @part may send to one target in MR_COLD_WINDOW, of the @bound that
- * the target bears from all in a second. */
-guint mr_cold_share_permits (double part, double bound);
+/* Calls that a daemon with @share may send to one target in MR_COLD_WINDOW, if the target can
+ * take @max_rate calls per second from all daemons. */
+guint mr_cold_share_permits (double share, double max_rate);
 
-/* Calls are counted where they arrive: some of two seconds may arrive in one. */
+/* The limit holds for calls per second as they arrive at the target.  The window is longer than
+ * a second because varying network delay can make calls arrive closer together than they were
+ * sent. */
 #define MR_COLD_WINDOW (1250 * MR_MS)
 
 enum
 {
   MR_COLD_PERMITS_MAX = 32,
-  MR_COLD_UNLIMITED = G_MAXINT, /* of a target that bears any number */
+  MR_COLD_UNLIMITED = G_MAXINT, /* the target has no cold rate limit */
 };
 
-/* Times of the calls that were sent to one cold target last. */
+/* Send times of the latest calls to one cold target, as a ring buffer. */
 typedef struct
 {
   MrTime sent[MR_COLD_PERMITS_MAX];
-  guint count; /* ever */
+  guint count; /* calls in total */
 } MrColdWindow;
 
 void mr_cold_window_add (MrColdWindow *window, MrTime now);
-/* TRUE if one more call keeps within @permits in any span. */
+/* TRUE if a call at @now keeps within @permits calls per MR_COLD_WINDOW. */
 gboolean mr_cold_window_allows (const MrColdWindow *window, MrTime now, guint permits);
--- a/src/startup_queue.h
+++ b/src/startup_queue.h
@@ -1,11 +1,11 @@
-/* Requests that reach a daemon before it knows what is in force.
+/* Holds requests that arrive before the daemon has its configuration.
  *
- * After a loss of all VMs callers wait in front of the first process that listens:
- * 30 to 60 requests in the 50 ms between its start and its configuration, a tenth
- * of two seconds' load.  Refused, half of them would come back to another daemon
- * that knows no more, and have used up their repeat.  So they wait, for at most
- * MR_STARTUP_MAX_WAIT after the start of the process; a daemon that knows nothing by
- * then (no store, no peer) refuses at once, so that callers can go elsewhere. */
+ * When all VMs have been down, the first process to listen gets 30 to 60 requests in the
+ * 50 ms between its start and its configuration, a tenth of the requests of two seconds.
+ * If it refused them, half would be retried at another daemon that has no configuration
+ * either, and would have used up their only retry.  Requests are therefore held until
+ * MR_STARTUP_MAX_WAIT after the start of the process.  A daemon without a configuration by
+ * then (neither store nor peers reachable) refuses at once, so that callers can try others. */
 #pragma once
 
 #include "clock.h"
@@ -13,11 +13,11 @@
 
 enum
 {
-  /* Bounds memory: at 18 kB, the most that callers may send, under 5 MB. */
+  /* Limits memory to under 5 MB, at the maximum request size of 18 kB. */
   MR_STARTUP_QUEUE_MAX = 256,
 };
 
-/* The longest wait of a relay for its peers (0.15 s) and two reads of the store. */
+/* A relay's longest wait for its peers (0.15 s) plus two reads of the store. */
 #define MR_STARTUP_MAX_WAIT (200 * MR_MS)
 
 typedef struct _MrStartupQueue MrStartupQueue;
@@ -25,22 +25,22 @@
 typedef struct
 {
   gpointer caller;
-  gconstpointer request; /* borrowed from the caller until it is answered */
-  MrTime first_byte_at;  /* its first byte */
-  MrTime received_at;    /* the whole of it */
+  gconstpointer request; /* owned by the caller, valid until it is answered */
+  MrTime first_byte_at;
+  MrTime received_at; /* completely */
 } MrQueuedRequest;
 
-/* @started: of this process. */
+/* @started: start time of this process. */
 MrStartupQueue *mr_startup_queue_new (MrTime started);
 void mr_startup_queue_free (MrStartupQueue *queue);
 
-/* FALSE if the request is to be refused: the time is over, or too many wait. */
-gboolean mr_startup_queue_push (MrStartupQueue *queue, MrTime now, const MrQueuedRequest *waiting);
-/* The caller has gone; FALSE if it did not wait. */
+/* Returns FALSE if the request must be refused: the wait is over or the queue is full. */
+gboolean mr_startup_queue_push (MrStartupQueue *queue, MrTime now, const MrQueuedRequest *request);
+/* Removes the request of a caller that disconnected; FALSE if it has none in the queue. */
 gboolean mr_startup_queue_remove (MrStartupQueue *queue, gconstpointer caller);
-/* Takes the one that has waited longest; FALSE if none does. */
-gboolean mr_startup_queue_pop (MrStartupQueue *queue, MrQueuedRequest *waiting);
+/* Removes the oldest request; FALSE if the queue is empty. */
+gboolean mr_startup_queue_pop (MrStartupQueue *queue, MrQueuedRequest *request);
 
 guint mr_startup_queue_length (const MrStartupQueue *queue);
-/* When those that wait are to be refused; MR_NEVER if none does. */
+/* When to refuse all queued requests; MR_NEVER if the queue is empty. */
 MrTime mr_startup_queue_deadline (const MrStartupQueue *queue);
