--- a/src/histogram.h
+++ b/src/histogram.h
@@ -1,8 +1,8 @@
-/* Latency histogram in microseconds, bounded memory.
+/* Latency histogram in microseconds with bounded memory.
  *
- * Sixteen linear steps for each power of two, so a bucket is at most 6.25 %
- * wide and a quantile read at its middle is within 3.2 % of the true value.
- * Values over MR_HISTOGRAM_MAX count in the last bucket. */
+ * Each power of two is divided into 16 linear buckets, so a bucket is at most
+ * 6.25 % wide and a quantile, which is read at the middle of a bucket, is within
+ * 3.2 % of the true value.  Values above the last bucket's range count in it. */
 #pragma once
 
 #include <glib.h>
@@ -26,11 +26,11 @@
 /* Value at @quantile (0 to 1); 0 if the histogram is empty. */
 gint64 mr_histogram_quantile (const MrHistogram *histogram, double quantile);
 
-/* Values at or under @limit, to the resolution of a bucket. */
+/* Number of values up to the end of the bucket that contains @limit. */
 guint64 mr_histogram_count_up_to (const MrHistogram *histogram, gint64 limit);
 
-/* Halves every bucket, so that old values fade out of a running estimate. */
+/* Halves all counts, so that recent values dominate a running estimate. */
 void mr_histogram_decay (MrHistogram *histogram);
 
-/* Largest value that falls into bucket @index. */
+/* Largest value in the range of bucket @index. */
 gint64 mr_histogram_bucket_max (guint index);
--- a/src/target.c
+++ b/src/target.c
@@ -2,11 +2,11 @@
 
 #include "log.h"
 
-/* Weight of the newest answer in the running mean. */
+/* Weight of a new sample in the running means. */
 static const double LATENCY_WEIGHT = 0.1;
-static const double LATENCY_FIRST = 1000;
-/* A snapshot that a target lacks may still be loaded; it is asked again then. */
-static const MrTime LACKS_HOLD = 500 * MR_MS;
+static const double LATENCY_INITIAL = 1000;
+/* A target that lacked a snapshot may have loaded it after this time, and is tried again. */
+static const MrTime SNAPSHOT_RETRY_DELAY = 500 * MR_MS;
 
 MrTargetState *
 mr_target_state_new (const MrTarget *target, const char *key)
@@ -20,7 +20,7 @@
   state->connection_limit = target->connections;
   state->slots = target->slots;
   state->started = target->started;
-  state->mean_latency = LATENCY_FIRST;
+  state->mean_latency = LATENCY_INITIAL;
   state->relative_latency = 1;
   state->cold_permits = MR_COLD_UNLIMITED;
   mr_concurrency_limit_init (&state->limit, target->slots);
@@ -51,7 +51,7 @@
 }
 
 static gboolean
-S_is_over_cold (const MrTargetState *target, MrTime now)
+S_cold_limit_reached (const MrTargetState *target, MrTime now)
 {
   return now < target->cold_until && target->cold_permits != MR_COLD_UNLIMITED &&
          !mr_cold_window_allows (&target->cold_calls, now, target->cold_permits);
@@ -60,15 +60,15 @@
 gboolean
 mr_target_state_can_take_call (const MrTargetState *target, MrTime now)
 {
-  return mr_target_state_usable (target) && !S_is_over_cold (target, now);
+  return mr_target_state_usable (target) && !S_cold_limit_reached (target, now);
 }
 
 gboolean
 mr_target_state_may_become_usable (const MrTargetState *target, MrTime now)
 {
-  gboolean lives = mr_target_state_usable (target) ||
-                   (target->health.state == MR_HEALTH_SUSPECT && !target->evacuated);
-  return lives && !S_is_over_cold (target, now);
+  gboolean may_be_up = mr_target_state_usable (target) ||
+                       (target->health.state == MR_HEALTH_SUSPECT && !target->evacuated);
+  return may_be_up && !S_cold_limit_reached (target, now);
 }
 
 void
@@ -93,7 +93,7 @@
 mr_target_state_set_snapshot_missing (MrTargetState *target, const MrShardMap *map, MrTime now)
 {
   target->missing_generation = map->generation;
-  target->missing_until = now + LACKS_HOLD;
+  target->missing_until = now + SNAPSHOT_RETRY_DELAY;
 }
 
 void
@@ -102,15 +102,15 @@
   target->mean_latency += LATENCY_WEIGHT * ((double) latency - target->mean_latency);
 }
 
-/* One sample counts for at most this many times the usual: a single long pause
- * must not keep a target out of use for the next hundred calls. */
-static const double RELATIVE_MAX = 8;
+/* Limit of one relative latency sample, so that a single long pause does not keep a target out of
+ * use for the next hundred calls. */
+static const double RELATIVE_LATENCY_MAX = 8;
 static const double FAILING_WEIGHT = 0.1;
 
 void
-mr_target_state_add_relative_latency (MrTargetState *target, MrTime latency, double usual)
+mr_target_state_add_relative_latency (MrTargetState *target, MrTime latency, double typical)
 {
-  double sample = MIN ((double) latency / MAX (usual, 1), RELATIVE_MAX);
+  double sample = MIN ((double) latency / MAX (typical, 1), RELATIVE_LATENCY_MAX);
   target->relative_latency += LATENCY_WEIGHT * (sample - target->relative_latency);
 }
 
@@ -123,9 +123,9 @@
 MrHealthAction
 mr_target_state_on_probe_result (MrTargetState *target, MrTime now, gboolean answered)
 {
-  MrHealthState before = target->health.state;
+  MrHealthState previous = target->health.state;
   MrHealthAction action = mr_health_on_probe_result (&target->health, answered, now);
-  if (target->health.state == MR_HEALTH_DOWN && before != MR_HEALTH_DOWN)
+  if (target->health.state == MR_HEALTH_DOWN && previous != MR_HEALTH_DOWN)
     mr_log (MR_LOG_WARNING, MR_EVENT_TARGET_DOWN, "target %s (%s) is down", target->id,
             target->key);
   return action;
--- a/src/timers.c
+++ b/src/timers.c
@@ -1,62 +1,62 @@
 #include "timers.h"
 
-/* items[0] is unused, so that the parent of place n is n / 2. */
+/* items[0] is unused, so that the parent of index n is at n / 2. */
 struct _MrTimers
 {
   GPtrArray *items;
 };
 
 static MrTimer *
-S_at (const MrTimers *timers, guint place)
+S_at (const MrTimers *timers, guint index)
 {
-  return g_ptr_array_index (timers->items, place);
+  return g_ptr_array_index (timers->items, index);
 }
 
 static void
-S_put (MrTimers *timers, guint place, MrTimer *timer)
+S_set_at (MrTimers *timers, guint index, MrTimer *timer)
 {
-  g_ptr_array_index (timers->items, place) = timer;
-  timer->heap_index = place;
+  g_ptr_array_index (timers->items, index) = timer;
+  timer->heap_index = index;
 }
 
 static void
-S_rise (MrTimers *timers, MrTimer *timer)
+S_sift_up (MrTimers *timers, MrTimer *timer)
 {
-  guint place = timer->heap_index;
-  for (; place > 1 && S_at (timers, place / 2)->due > timer->due; place /= 2)
-    S_put (timers, place, S_at (timers, place / 2));
-  S_put (timers, place, timer);
+  guint index = timer->heap_index;
+  for (; index > 1 && S_at (timers, index / 2)->due > timer->due; index /= 2)
+    S_set_at (timers, index, S_at (timers, index / 2));
+  S_set_at (timers, index, timer);
 }
 
 static void
-S_sink (MrTimers *timers, MrTimer *timer)
+S_sift_down (MrTimers *timers, MrTimer *timer)
 {
-  guint place = timer->heap_index;
+  guint index = timer->heap_index;
   guint last = timers->items->len - 1;
-  for (guint child = place * 2; child <= last; child = place * 2)
+  for (guint child = index * 2; child <= last; child = index * 2)
     {
       if (child < last && S_at (timers, child + 1)->due < S_at (timers, child)->due)
         child++;
       if (S_at (timers, child)->due >= timer->due)
         break;
-      S_put (timers, place, S_at (timers, child));
-      place = child;
+      S_set_at (timers, index, S_at (timers, child));
+      index = child;
     }
-  S_put (timers, place, timer);
+  S_set_at (timers, index, timer);
 }
 
 static void
 S_remove (MrTimers *timers, MrTimer *timer)
 {
-  guint place = timer->heap_index;
+  guint index = timer->heap_index;
   MrTimer *last = S_at (timers, timers->items->len - 1);
   g_ptr_array_set_size (timers->items, (gint) timers->items->len - 1);
   timer->heap_index = 0;
   if (last == timer)
     return;
-  S_put (timers, place, last);
-  S_rise (timers, last);
-  S_sink (timers, last);
+  S_set_at (timers, index, last);
+  S_sift_up (timers, last);
+  S_sift_down (timers, last);
 }
 
 MrTimers *
@@ -92,8 +92,8 @@
       g_ptr_array_add (timers->items, timer);
       timer->heap_index = timers->items->len - 1;
     }
-  S_rise (timers, timer);
-  S_sink (timers, timer);
+  S_sift_up (timers, timer);
+  S_sift_down (timers, timer);
 }
 
 MrTimer *
--- a/src/timers.h
+++ b/src/timers.h
@@ -1,27 +1,27 @@
-/* Due times of many items, earliest first: a binary heap whose items know
- * their place, so that moving or removing one costs a logarithm. */
+/* Timer queue: a binary min-heap ordered by due time.  Each timer stores its heap
+ * index, so that moving or removing it takes O(log n). */
 #pragma once
 
 #include "clock.h"
 
 typedef struct _MrTimers MrTimers;
 
-/* Embedded in what is timed; zero it before use. */
+/* Embedded in the object that is timed; zero-initialize it before use. */
 typedef struct
 {
   MrTime due;
-  guint heap_index; /* in the heap, from 1; 0: not in it */
+  guint heap_index; /* from 1; 0: not in the heap */
   gpointer owner;
 } MrTimer;
 
 MrTimers *mr_timers_new (void);
 void mr_timers_free (MrTimers *timers);
 
-/* Adds @timer or moves it; MR_NEVER removes it. */
+/* Adds @timer or reschedules it; MR_NEVER removes it. */
 void mr_timers_set (MrTimers *timers, MrTimer *timer, MrTime due);
 
-/* Takes out the earliest timer if it is due; NULL if none is. */
+/* Removes and returns the earliest timer if it is due; otherwise returns NULL. */
 MrTimer *mr_timers_pop (MrTimers *timers, MrTime now);
 
-/* Due time of the earliest, or MR_NEVER. */
+/* Due time of the earliest timer, or MR_NEVER. */
 MrTime mr_timers_next_due (const MrTimers *timers);
--- a/src/traffic.c
+++ b/src/traffic.c
@@ -3,9 +3,9 @@
 #include "log.h"
 #include <stdatomic.h>
 
-/* As the last log line had them. */
-static guint64 logged[MR_TRAFFIC_KINDS][2];
-static guint64 logged_calls;
+/* Values at the time of the last log line. */
+static guint64 logged_bytes[MR_TRAFFIC_KINDS][2];
+static guint64 logged_platform_calls;
 
 typedef struct
 {
@@ -47,24 +47,27 @@
 }
 
 void
-mr_traffic_add (MrTrafficDirection way, MrTrafficKind kind, gboolean same_domain, guint64 bytes)
+mr_traffic_add (MrTrafficDirection direction,
+                MrTrafficKind kind,
+                gboolean same_domain,
+                guint64 bytes)
 {
-  Counter *counter = &counters[way][kind][same_domain ? 1 : 0];
+  Counter *counter = &counters[direction][kind][same_domain ? 1 : 0];
   atomic_fetch_add_explicit (&counter->bytes, bytes, memory_order_relaxed);
   atomic_fetch_add_explicit (&counter->messages, 1, memory_order_relaxed);
 }
 
 guint64
-mr_traffic_bytes (MrTrafficDirection way, MrTrafficKind kind, gboolean same_domain)
+mr_traffic_bytes (MrTrafficDirection direction, MrTrafficKind kind, gboolean same_domain)
 {
-  return atomic_load_explicit (&counters[way][kind][same_domain ? 1 : 0].bytes,
+  return atomic_load_explicit (&counters[direction][kind][same_domain ? 1 : 0].bytes,
                                memory_order_relaxed);
 }
 
 guint64
-mr_traffic_messages (MrTrafficDirection way, MrTrafficKind kind, gboolean same_domain)
+mr_traffic_messages (MrTrafficDirection direction, MrTrafficKind kind, gboolean same_domain)
 {
-  return atomic_load_explicit (&counters[way][kind][same_domain ? 1 : 0].messages,
+  return atomic_load_explicit (&counters[direction][kind][same_domain ? 1 : 0].messages,
                                memory_order_relaxed);
 }
 
@@ -72,21 +75,23 @@
 S_write_counter (GString *out,
                  const char *name,
                  const char *help,
-                 guint64 (*read) (MrTrafficDirection way, MrTrafficKind kind, gboolean same_domain))
+                 guint64 (*read) (MrTrafficDirection direction,
+                                  MrTrafficKind kind,
+                                  gboolean same_domain))
 {
   g_string_append_printf (
       out, "# HELP merlinring_%s_total %s\n# TYPE merlinring_%s_total counter\n", name, help, name);
-  for (int way = 0; way < MR_TRAFFIC_DIRECTIONS; way++)
+  for (int direction = 0; direction < MR_TRAFFIC_DIRECTIONS; direction++)
     for (int kind = 0; kind < MR_TRAFFIC_KINDS; kind++)
-      for (int same = 0; same < 2; same++)
+      for (int same_domain = 0; same_domain < 2; same_domain++)
         {
-          guint64 value = read ((MrTrafficDirection) way, (MrTrafficKind) kind, same);
+          guint64 value = read ((MrTrafficDirection) direction, (MrTrafficKind) kind, same_domain);
           if (value > 0)
             g_string_append_printf (
                 out,
                 "merlinring_%s_total{way=\"%s\",kind=\"%s\",domain=\"%s\"} %" G_GUINT64_FORMAT "\n",
-                name, way == MR_TRAFFIC_SENT ? "sent" : "received", kind_names[kind],
-                same ? "same" : "other", value);
+                name, direction == MR_TRAFFIC_SENT ? "sent" : "received", kind_names[kind],
+                same_domain ? "same" : "other", value);
         }
 }
 
@@ -103,20 +108,20 @@
   g_autoptr (GString) sent = g_string_new ("{");
   for (int kind = 0; kind < MR_TRAFFIC_KINDS; kind++)
     {
-      guint64 since[2];
-      for (int same = 0; same < 2; same++)
+      guint64 delta[2];
+      for (int same_domain = 0; same_domain < 2; same_domain++)
         {
-          guint64 bytes = mr_traffic_bytes (MR_TRAFFIC_SENT, (MrTrafficKind) kind, same);
-          since[same] = bytes - logged[kind][same];
-          logged[kind][same] = bytes;
+          guint64 bytes = mr_traffic_bytes (MR_TRAFFIC_SENT, (MrTrafficKind) kind, same_domain);
+          delta[same_domain] = bytes - logged_bytes[kind][same_domain];
+          logged_bytes[kind][same_domain] = bytes;
         }
-      if (since[0] + since[1] > 0)
+      if (delta[0] + delta[1] > 0)
         g_string_append_printf (
             sent, "%s\"%s\":{\"same\":%" G_GUINT64_FORMAT ",\"other\":%" G_GUINT64_FORMAT "}",
-            sent->len > 1 ? "," : "", kind_names[kind], since[1], since[0]);
+            sent->len > 1 ? "," : "", kind_names[kind], delta[1], delta[0]);
     }
-  guint64 calls = platform_calls - logged_calls;
-  logged_calls = platform_calls;
+  guint64 calls = platform_calls - logged_platform_calls;
+  logged_platform_calls = platform_calls;
   if (sent->len == 1 && calls == 0)
     return;
   g_string_append_c (sent, '}');
--- a/src/traffic.h
+++ b/src/traffic.h
@@ -1,7 +1,8 @@
-/* Bytes and messages between daemons, by kind and by whether the other end is in the
- * same failure domain: what crosses domains is slower and is paid for.
+/* Counters of the bytes and messages between daemons, by kind and by whether the peer is
+ * in the same failure domain: traffic across domains is slower and is billed.
  *
- * Counters of this process, raised by the control task and read by any. */
+ * The counters belong to the process.  The control task updates them; any thread may read
+ * them. */
 #pragma once
 
 #include "wire.h"
@@ -9,9 +10,9 @@
 typedef enum
 {
   MR_TRAFFIC_HEARTBEAT,
-  MR_TRAFFIC_MEMBERS, /* whole lists of members */
-  MR_TRAFFIC_NEWS,    /* versions that were just taken */
-  MR_TRAFFIC_COMPARE, /* lists of versions, digests of ranges */
+  MR_TRAFFIC_MEMBERS, /* full membership lists */
+  MR_TRAFFIC_NEWS,    /* announcements of newly accepted object versions */
+  MR_TRAFFIC_COMPARE, /* anti-entropy: version lists and range digests */
   MR_TRAFFIC_GET,
   MR_TRAFFIC_OBJECTS,
   MR_TRAFFIC_SEARCH,
@@ -29,14 +30,17 @@
 MrTrafficKind mr_traffic_kind (MrWireType type);
 const char *mr_traffic_kind_name (MrTrafficKind kind);
 
-void
-mr_traffic_add (MrTrafficDirection way, MrTrafficKind kind, gboolean same_domain, guint64 bytes);
-guint64 mr_traffic_bytes (MrTrafficDirection way, MrTrafficKind kind, gboolean same_domain);
-guint64 mr_traffic_messages (MrTrafficDirection way, MrTrafficKind kind, gboolean same_domain);
+void mr_traffic_add (MrTrafficDirection direction,
+                     MrTrafficKind kind,
+                     gboolean same_domain,
+                     guint64 bytes);
+guint64 mr_traffic_bytes (MrTrafficDirection direction, MrTrafficKind kind, gboolean same_domain);
+guint64
+mr_traffic_messages (MrTrafficDirection direction, MrTrafficKind kind, gboolean same_domain);
 
-/* Writes a log line of what was sent since the last such line, if anything was; by
- * the control task only.  @platform_calls: calls to the platform since the start. */
+/* Logs what was sent since the last such line, if anything was.  Only the control task may
+ * call this.  @platform_calls: calls to the platform since the start of the process. */
 void mr_traffic_log (guint64 platform_calls);
 
-/* Appends all that are not 0, in the exposition text. */
+/* Appends all nonzero counters in the Prometheus text format. */
 void mr_traffic_write_metrics (GString *out);
