--- a/test/relay_sim.c
+++ b/test/relay_sim.c
@@ -2,55 +2,55 @@
 
 #include <math.h>
 
-static const double COLD_FACTOR = 1.5;
+static const double COLD_RATE_FACTOR = 1.5;
 
 enum
 {
-  ONE_WAY_US = 1500,
+  ONE_WAY_DELAY_US = 1500,
   HANDSHAKE_US = 6000,
-  LEAVING_US = 3000000, /* a leaving target may be given work for this long */
-  RATIO_PERCENT = 20,
-  ALLOWANCE = 52,
-  WINDOW_US = 10000000,
-  SLACK_US = 500000,
-  COLD_SLACK = 5,
-  CRASHER_CONTENT = 1,
-  POPULAR_CONTENT = 2, /* and the numbers that follow, by route */
+  LEAVING_GRACE_US = 3000000, /* a leaving target may be sent calls for this long */
+  RESEND_RATIO_PERCENT = 20,
+  RESEND_ALLOWANCE = 52,
+  RESEND_WINDOW_US = 10000000,
+  VERDICT_SLACK_US = 500000,
+  COLD_RATE_SLACK = 5,
+  POISON_CONTENT = 1,
+  POPULAR_CONTENT = 2, /* plus the index of the route */
 };
 
-typedef struct World World;
-typedef struct Ask Ask;
+typedef struct Simulation Simulation;
+typedef struct Request Request;
 typedef struct Call Call;
 
 typedef enum
 {
-  EVENT_ARRIVE,
-  EVENT_REACH, /* a call reaches its target */
-  EVENT_FINISH,
-  EVENT_REPLY,
+  EVENT_REQUEST_ARRIVES,
+  EVENT_CALL_ARRIVES, /* at its target */
+  EVENT_CALL_DONE,
+  EVENT_RESPONSE,
   EVENT_TICK,
-  EVENT_TROUBLE,
-  EVENT_GIVE_UP,
-  EVENT_PROBED,
-  EVENT_CRASHER, /* comes once more */
-  EVENT_CRASH,   /* the target of the call ends */
-  EVENT_BACK,    /* a target that had ended takes connections again */
-  EVENT_NEWS,    /* of evidence against a content */
+  EVENT_FAULT,
+  EVENT_ABANDON,
+  EVENT_PROBE_DONE,
+  EVENT_POISON_REQUEST,
+  EVENT_CRASH,    /* of the target of a poison request's call */
+  EVENT_RESTART,  /* of a crashed target */
+  EVENT_EVIDENCE, /* arrives at the other daemons */
 } EventType;
 
 typedef struct
 {
   MrTime at;
-  guint64 order;
+  guint64 sequence;
   EventType type;
-  gpointer subject;
+  gpointer object;
   guint index;
 } Event;
 
 typedef struct
 {
   MrRelayHost host;
-  World *world;
+  Simulation *sim;
   guint index;
   MrRelay *relay;
   MrTime tick_at;
@@ -61,77 +61,77 @@
   guint index;
   char id[MR_NAME_MAX + 1];
   guint shard;
-  guint busy;
+  guint running_calls;
   GQueue queue; /* Call */
   MrTime paused_until;
-  MrTime pause_at;
-  SimFaultType trouble;
+  MrTime next_pause_at;
+  SimFaultType fault;
   double factor;
-  MrTime leaving_at; /* listed as leaving or gone; 0: not */
+  MrTime leaving_since; /* when it was listed as leaving or removed; 0: it was not */
   MrTime cold_until;
   GQueue cold_calls; /* MrTime: arrivals in the last second, while it is cold */
 } Target;
 
-/* The domain of a target, and of a daemon, is its index modulo WORLD_DOMAINS. */
+/* The failure domain of a target or daemon is its index modulo SIM_DOMAINS. */
 
 struct Call
 {
   guint64 id;
   Daemon *daemon;
   Target *target;
-  Ask *ask;
+  Request *request;
   MrCallOutcome outcome;
-  gboolean dropped;
-  MrTime sent_at; /* once its connection stands */
+  gboolean closed;
+  MrTime sent_at; /* when its connection is established */
   gboolean running;
   gboolean ran;
-  gboolean lost; /* its target has ended */
+  gboolean target_crashed;
 };
 
-struct Ask
+struct Request
 {
-  World *world;
+  Simulation *sim;
   Daemon *daemon;
   guint route;
   MrTime arrived;
   MrTime deadline;
-  MrTime gone_at; /* 0: it waits */
-  MrActiveRequest *work;
-  gboolean ended;
-  guint ran; /* calls that ran, of an unsafe request */
-  gboolean crasher;
-  guint content; /* of a crasher whose contents vary */
-  gboolean popular;
-  guint repeats; /* that its caller has left */
-  guint8 *sends; /* a part */
-  /* A part, a bit for each target of its shard: those that were sent to, and of them
-   * those that have not refused. */
-  guint64 *seen;
-  guint64 *held;
+  MrTime abandoned_at; /* 0: not abandoned */
+  MrActiveRequest *active;
+  gboolean done;
+  guint executions; /* calls that have run */
+  gboolean is_poison;
+  guint poison_content; /* number of the content of a poison request */
+  gboolean is_popular;
+  guint retries_left; /* of a poison request's caller */
+  guint8 *calls_sent; /* by shard */
+  /* By shard, bit sets of its targets: those that were sent a call, and those of them that
+   * have not refused it. */
+  guint64 *targets_tried;
+  guint64 *targets_pending;
 };
 
-/* Evidence on its way from one daemon to the others. */
+/* Evidence in transit from one daemon to the others. */
 typedef struct
 {
   guint from;
   MrFingerprint fingerprint;
   MrEvidence evidence;
-} News;
+} EvidenceMessage;
 
-/* Requests and second sends of one shard, by the time they were made. */
+/* Times of the requests, and of the hedges and retries, of one shard. */
 typedef struct
 {
   GArray *requests;
-  GArray *extras;
-} Ledger;
+  GArray *resends;
+} ShardLog;
 
-struct World
+struct Simulation
 {
   const SimPlan *plan;
   SimResult *result;
   GRand *random;
   GSequence *events;
-  guint64 order;
+  guint64 sequence;
   MrTime now;
   MrTime end;
   MrConfiguration *configuration;
@@ -139,13 +139,13 @@
   Daemon daemons[SIM_DAEMONS_MAX];
   Target targets[SIM_TARGETS_MAX];
   guint target_count;
-  Ledger *ledgers;
+  ShardLog *shard_logs;
   GPtrArray *calls;
   GHashTable *by_id[SIM_DAEMONS_MAX]; /* call id -> Call */
-  GPtrArray *asks;
-  MrTime third_crash;               /* 0: not yet */
-  MrTime evacuated_at[SIM_DOMAINS]; /* 0: it is not */
-  GPtrArray *news;
+  GPtrArray *requests;
+  MrTime third_poison_crash;        /* 0: not yet */
+  MrTime evacuated_at[SIM_DOMAINS]; /* 0: not evacuated */
+  GPtrArray *messages;
 };
 
 static gint
@@ -156,15 +156,15 @@
   (void) user;
   if (x->at != y->at)
     return x->at < y->at ? -1 : 1;
-  return x->order < y->order ? -1 : x->order > y->order;
+  return x->sequence < y->sequence ? -1 : x->sequence > y->sequence;
 }
 
 static void
-S_at (World *w, MrTime at, EventType type, gpointer subject, guint index)
+S_schedule (Simulation *sim, MrTime at, EventType type, gpointer object, guint index)
 {
   Event *event = g_new (Event, 1);
-  *event = (Event){ MAX (at, w->now), w->order++, type, subject, index };
-  g_sequence_insert_sorted (w->events, event, S_compare, NULL);
+  *event = (Event){ MAX (at, sim->now), sim->sequence++, type, object, index };
+  g_sequence_insert_sorted (sim->events, event, S_compare, NULL);
 }
 
 static MrTime
@@ -174,378 +174,385 @@
 }
 
 static double
-S_exponential (World *w, double mean)
+S_exponential (Simulation *sim, double mean)
 {
-  return -mean * log (1 - g_rand_double (w->random));
+  return -mean * log (1 - g_rand_double (sim->random));
 }
 
 /* Targets. */
 
 static void
-S_start_work (World *w, Target *target, Call *call)
+S_start_call (Simulation *sim, Target *target, Call *call)
 {
-  double mean = w->plan->routes[call->ask->route].service_time_ms;
-  double work = mean / 2 + S_exponential (w, mean / 2);
-  if (target->trouble == SIM_FAULT_SLOW)
-    work *= target->factor;
-  target->busy++;
+  double mean = sim->plan->routes[call->request->route].service_time_ms;
+  double service_time = mean / 2 + S_exponential (sim, mean / 2);
+  if (target->fault == SIM_FAULT_SLOW)
+    service_time *= target->factor;
+  target->running_calls++;
   call->running = TRUE;
   call->ran = TRUE;
-  call->ask->ran++;
-  MrTime begin = MAX (w->now, target->paused_until);
-  if (call->ask->crasher)
-    S_at (w, begin + S_ms (w->plan->poison.time_to_crash_ms * (0.5 + g_rand_double (w->random))),
-          EVENT_CRASH, call, 0);
+  call->request->executions++;
+  MrTime start = MAX (sim->now, target->paused_until);
+  if (call->request->is_poison)
+    S_schedule (sim,
+                start +
+                    S_ms (sim->plan->poison.time_to_crash_ms * (0.5 + g_rand_double (sim->random))),
+                EVENT_CRASH, call, 0);
   else
-    S_at (w, begin + S_ms (work), EVENT_FINISH, call, 0);
+    S_schedule (sim, start + S_ms (service_time), EVENT_CALL_DONE, call, 0);
 }
 
 static guint64
-S_bit (const World *w, const Target *target)
+S_bit (const Simulation *sim, const Target *target)
 {
-  return G_GUINT64_CONSTANT (1) << (target->index % w->plan->replicas);
+  return G_GUINT64_CONSTANT (1) << (target->index % sim->plan->replicas);
 }
 
 static void
-S_reply (World *w, Call *call, MrCallOutcome outcome)
+S_respond (Simulation *sim, Call *call, MrCallOutcome outcome)
 {
   call->outcome = outcome;
   if (outcome == MR_CALL_SHED)
-    call->ask->held[call->target->shard] &= ~S_bit (w, call->target);
-  S_at (w, w->now + ONE_WAY_US, EVENT_REPLY, call, 0);
+    call->request->targets_pending[call->target->shard] &= ~S_bit (sim, call->target);
+  S_schedule (sim, sim->now + ONE_WAY_DELAY_US, EVENT_RESPONSE, call, 0);
 }
 
-/* All connections of the target's process end with it. */
+/* Closes all connections of the target. */
 static void
-S_end_process (World *w, Target *target)
+S_crash_process (Simulation *sim, Target *target)
 {
-  for (guint i = 0; i < w->calls->len; i++)
+  for (guint i = 0; i < sim->calls->len; i++)
     {
-      Call *call = g_ptr_array_index (w->calls, i);
+      Call *call = g_ptr_array_index (sim->calls, i);
       gboolean queued = g_queue_remove (&target->queue, call);
-      if (call->target != target || call->lost || !(call->running || queued))
+      if (call->target != target || call->target_crashed || !(call->running || queued))
         continue;
-      call->lost = TRUE;
+      call->target_crashed = TRUE;
       call->running = FALSE;
-      if (!call->dropped)
-        S_reply (w, call, MR_CALL_BROKEN);
+      if (!call->closed)
+        S_respond (sim, call, MR_CALL_BROKEN);
     }
-  target->busy = 0;
+  target->running_calls = 0;
 }
 
-/* The target's entry is removed; all daemons hear of it at once. */
+/* Removes the target's entry, without delay at all daemons. */
 static void
-S_withdraw (World *w, const Target *target)
+S_remove_target (Simulation *sim, const Target *target)
 {
-  for (guint i = 0; i < w->plan->daemons; i++)
-    mr_relay_remove_target (w->daemons[i].relay, w->now, target->id);
+  for (guint i = 0; i < sim->plan->daemons; i++)
+    mr_relay_remove_target (sim->daemons[i].relay, sim->now, target->id);
 }
 
 static void
-S_on_crash (World *w, const Call *cause)
+S_on_crash (Simulation *sim, const Call *cause)
 {
   Target *target = cause->target;
-  if (cause->lost || (cause->dropped && !w->plan->poison.crashes_after_disconnect))
+  if (cause->target_crashed || (cause->closed && !sim->plan->poison.crashes_after_disconnect))
     return;
-  target->trouble = SIM_FAULT_REFUSES_CONNECTIONS;
-  S_end_process (w, target);
-  if (++w->result->poison_crashes == 3)
-    w->third_crash = w->now;
-  if (w->plan->poison.removes_target)
+  target->fault = SIM_FAULT_REFUSES_CONNECTIONS;
+  S_crash_process (sim, target);
+  if (++sim->result->poison_crashes == 3)
+    sim->third_poison_crash = sim->now;
+  if (sim->plan->poison.removes_target)
     {
-      S_withdraw (w, target);
+      S_remove_target (sim, target);
       return;
     }
-  S_at (w, w->now + S_ms (w->plan->poison.restart_ms), EVENT_BACK, NULL, target->index);
+  S_schedule (sim, sim->now + S_ms (sim->plan->poison.restart_ms), EVENT_RESTART, NULL,
+              target->index);
 }
 
 static void
-S_note_pause (World *w, Target *target)
+S_update_pause (Simulation *sim, Target *target)
 {
-  if (w->plan->pause_ms <= 0 || w->now < target->pause_at)
+  if (sim->plan->pause_ms <= 0 || sim->now < target->next_pause_at)
     return;
-  target->paused_until = target->pause_at + S_ms (w->plan->pause_ms);
-  while (target->pause_at <= w->now)
-    target->pause_at += S_ms (w->plan->pause_interval_ms);
+  target->paused_until = target->next_pause_at + S_ms (sim->plan->pause_ms);
+  while (target->next_pause_at <= sim->now)
+    target->next_pause_at += S_ms (sim->plan->pause_interval_ms);
 }
 
 static gboolean
-S_takes_no_connections (const Target *target)
+S_refuses_connections (const Target *target)
 {
-  return target->trouble == SIM_FAULT_REFUSES_CONNECTIONS || target->trouble == SIM_FAULT_REMOVED ||
-         target->trouble == SIM_FAULT_CRASHED || target->trouble == SIM_FAULT_CRASHED_AND_REMOVED;
+  return target->fault == SIM_FAULT_REFUSES_CONNECTIONS || target->fault == SIM_FAULT_REMOVED ||
+         target->fault == SIM_FAULT_CRASHED || target->fault == SIM_FAULT_CRASHED_AND_REMOVED;
 }
 
-/* What a target sees: the first call of a request, or one more. */
+/* Counts a call that has reached its target. */
 static void
-S_note_arrival (World *w, const Call *call)
+S_record_call (Simulation *sim, const Call *call)
 {
-  Ask *ask = call->ask;
+  Request *request = call->request;
   guint shard = call->target->shard;
-  if (ask->crasher)
+  if (request->is_poison)
     {
-      w->result->poison_calls++;
-      if (w->third_crash && w->now > w->third_crash + S_ms (SIM_EVIDENCE_SPREAD_MS))
-        w->result->poison_calls_late++;
+      sim->result->poison_calls++;
+      if (sim->third_poison_crash &&
+          sim->now > sim->third_poison_crash + S_ms (SIM_EVIDENCE_SPREAD_MS))
+        sim->result->poison_calls_late++;
     }
   if (call->target->index % SIM_DOMAINS != call->daemon->index % SIM_DOMAINS)
-    w->result->cross_domain_calls++;
-  if (ask->sends[shard]++ > 0)
+    sim->result->cross_domain_calls++;
+  if (request->calls_sent[shard]++ > 0)
     {
-      w->result->extra_calls++;
-      g_array_append_val (w->ledgers[shard].extras, w->now);
+      sim->result->extra_calls++;
+      g_array_append_val (sim->shard_logs[shard].resends, sim->now);
     }
   else
-    w->result->first_calls++;
-  guint64 bit = S_bit (w, call->target);
-  if (ask->held[shard] & bit)
-    w->result->excess_attempts++; /* it has not said that it did not run the one before */
-  ask->seen[shard] |= bit;
-  ask->held[shard] |= bit;
-  if ((guint) __builtin_popcountll (ask->seen[shard]) > w->plan->attempts)
-    w->result->excess_attempts++;
+    sim->result->first_calls++;
+  guint64 bit = S_bit (sim, call->target);
+  if (request->targets_pending[shard] & bit)
+    sim->result->excess_attempts++; /* it may have run the previous call */
+  request->targets_tried[shard] |= bit;
+  request->targets_pending[shard] |= bit;
+  if ((guint) __builtin_popcountll (request->targets_tried[shard]) > sim->plan->attempts)
+    sim->result->excess_attempts++;
 }
 
 static void
-S_note_cold (World *w, Target *target)
+S_record_cold_call (Simulation *sim, Target *target)
 {
-  double most = COLD_FACTOR * w->plan->cold_rate + COLD_SLACK;
+  double most = COLD_RATE_FACTOR * sim->plan->cold_rate + COLD_RATE_SLACK;
   MrTime *arrived = g_new (MrTime, 1);
-  *arrived = w->now;
+  *arrived = sim->now;
   g_queue_push_tail (&target->cold_calls, arrived);
-  for (MrTime *first = g_queue_peek_head (&target->cold_calls); w->now - *first >= MR_SECOND;
+  for (MrTime *first = g_queue_peek_head (&target->cold_calls); sim->now - *first >= MR_SECOND;
        first = g_queue_peek_head (&target->cold_calls))
     g_free (g_queue_pop_head (&target->cold_calls));
-  if (w->plan->cold_rate > 0 && target->cold_calls.length > most)
-    w->result->cold_excess = MAX (w->result->cold_excess, target->cold_calls.length - (guint) most);
+  if (sim->plan->cold_rate > 0 && target->cold_calls.length > most)
+    sim->result->cold_excess =
+        MAX (sim->result->cold_excess, target->cold_calls.length - (guint) most);
 }
 
 static void
-S_on_reach (World *w, Call *call)
+S_on_call_arrives (Simulation *sim, Call *call)
 {
   Target *target = call->target;
-  MrTime evacuated_at = w->evacuated_at[target->index % SIM_DOMAINS];
-  S_note_pause (w, target);
-  if (call->dropped)
+  MrTime evacuated_at = sim->evacuated_at[target->index % SIM_DOMAINS];
+  S_update_pause (sim, target);
+  if (call->closed)
     return;
-  if (evacuated_at != 0 && w->now > evacuated_at + ONE_WAY_US)
-    w->result->calls_after_evacuation++;
-  if (w->now < target->cold_until)
-    S_note_cold (w, target);
-  if (target->trouble == SIM_FAULT_UNRESPONSIVE)
+  if (evacuated_at != 0 && sim->now > evacuated_at + ONE_WAY_DELAY_US)
+    sim->result->calls_after_evacuation++;
+  if (sim->now < target->cold_until)
+    S_record_cold_call (sim, target);
+  if (target->fault == SIM_FAULT_UNRESPONSIVE)
     return;
-  if (S_takes_no_connections (target))
+  if (S_refuses_connections (target))
     {
-      S_reply (w, call, MR_CALL_NOT_CONNECTED);
+      S_respond (sim, call, MR_CALL_NOT_CONNECTED);
       return;
     }
-  S_note_arrival (w, call);
-  if (target->trouble == SIM_FAULT_SHEDS && g_rand_double (w->random) < target->factor)
-    S_reply (w, call, MR_CALL_SHED);
-  else if (target->busy < w->plan->slots)
-    S_start_work (w, target, call);
-  else if (target->queue.length < w->plan->queue)
+  S_record_call (sim, call);
+  if (target->fault == SIM_FAULT_SHEDS && g_rand_double (sim->random) < target->factor)
+    S_respond (sim, call, MR_CALL_SHED);
+  else if (target->running_calls < sim->plan->slots)
+    S_start_call (sim, target, call);
+  else if (target->queue.length < sim->plan->queue)
     g_queue_push_tail (&target->queue, call);
   else
-    S_reply (w, call, MR_CALL_SHED);
+    S_respond (sim, call, MR_CALL_SHED);
 }
 
 static void
-S_free_slot (World *w, Call *call)
+S_release_slot (Simulation *sim, Call *call)
 {
   Target *target = call->target;
-  target->busy--;
+  target->running_calls--;
   call->running = FALSE;
-  while (target->busy < w->plan->slots && !g_queue_is_empty (&target->queue))
+  while (target->running_calls < sim->plan->slots && !g_queue_is_empty (&target->queue))
     {
       Call *next = g_queue_pop_head (&target->queue);
-      if (!next->dropped)
-        S_start_work (w, target, next);
+      if (!next->closed)
+        S_start_call (sim, target, next);
     }
 }
 
 static void
-S_on_finish (World *w, Call *call)
+S_on_call_done (Simulation *sim, Call *call)
 {
   const Target *target = call->target;
-  if (call->lost)
+  if (call->target_crashed)
     return;
-  S_free_slot (w, call);
-  if (call->dropped || target->trouble == SIM_FAULT_UNRESPONSIVE)
+  S_release_slot (sim, call);
+  if (call->closed || target->fault == SIM_FAULT_UNRESPONSIVE)
     return;
-  gboolean bad = g_rand_double (w->random) < target->factor;
-  if (target->trouble == SIM_FAULT_ERRORS && bad)
-    S_reply (w, call, MR_CALL_ERROR);
-  else if (target->trouble == SIM_FAULT_LOSES_RESPONSES && bad)
-    S_reply (w, call, MR_CALL_BROKEN);
+  gboolean bad = g_rand_double (sim->random) < target->factor;
+  if (target->fault == SIM_FAULT_ERRORS && bad)
+    S_respond (sim, call, MR_CALL_ERROR);
+  else if (target->fault == SIM_FAULT_LOSES_RESPONSES && bad)
+    S_respond (sim, call, MR_CALL_BROKEN);
   else
-    S_reply (w, call, MR_CALL_ANSWER);
+    S_respond (sim, call, MR_CALL_ANSWER);
 }
 
-/* Hosts. */
+/* Implementation of MrRelayHost. */
 
 static void
-S_wake (Daemon *daemon, MrTime at)
+S_schedule_tick (Daemon *daemon, MrTime at)
 {
   if (at >= daemon->tick_at)
     return;
   daemon->tick_at = at;
-  S_at (daemon->world, at, EVENT_TICK, daemon, 0);
+  S_schedule (daemon->sim, at, EVENT_TICK, daemon, 0);
 }
 
 static void
-S_on_call (MrRelayHost *host, const MrRelayCall *out)
+S_send_call (MrRelayHost *host, const MrRelayCall *out)
 {
   Daemon *daemon = (Daemon *) host;
-  World *w = daemon->world;
-  Ask *ask = out->host_request;
+  Simulation *sim = daemon->sim;
+  Request *request = out->host_request;
   Target *target = NULL;
-  for (guint i = 0; i < w->target_count && !target; i++)
-    if (g_str_equal (w->targets[i].id, out->target->id))
-      target = &w->targets[i];
+  for (guint i = 0; i < sim->target_count && !target; i++)
+    if (g_str_equal (sim->targets[i].id, out->target->id))
+      target = &sim->targets[i];
   Call *call = g_new0 (Call, 1);
-  *call = (Call){ .id = out->id, .daemon = daemon, .target = target, .ask = ask };
-  g_ptr_array_add (w->calls, call);
-  g_hash_table_insert (w->by_id[daemon->index], &call->id, call);
-  if (out->deadline > ask->deadline)
-    w->result->deadlines_extended++;
-  if (target->leaving_at && w->now > target->leaving_at + LEAVING_US)
-    w->result->calls_after_leaving++;
-  call->sent_at = w->now + S_ms (w->plan->connect_ms);
-  S_at (w, call->sent_at + ONE_WAY_US, EVENT_REACH, call, 0);
+  *call = (Call){ .id = out->id, .daemon = daemon, .target = target, .request = request };
+  g_ptr_array_add (sim->calls, call);
+  g_hash_table_insert (sim->by_id[daemon->index], &call->id, call);
+  if (out->deadline > request->deadline)
+    sim->result->deadlines_extended++;
+  if (target->leaving_since && sim->now > target->leaving_since + LEAVING_GRACE_US)
+    sim->result->calls_after_leaving++;
+  call->sent_at = sim->now + S_ms (sim->plan->connect_ms);
+  S_schedule (sim, call->sent_at + ONE_WAY_DELAY_US, EVENT_CALL_ARRIVES, call, 0);
 }
 
 static gboolean
-S_on_take_back (MrRelayHost *host, guint64 id)
+S_withdraw_call (MrRelayHost *host, guint64 id)
 {
   const Daemon *daemon = (const Daemon *) host;
-  Call *call = g_hash_table_lookup (daemon->world->by_id[daemon->index], &id);
-  if (call->sent_at <= daemon->world->now)
+  Call *call = g_hash_table_lookup (daemon->sim->by_id[daemon->index], &id);
+  if (call->sent_at <= daemon->sim->now)
     return FALSE;
-  call->dropped = TRUE;
+  call->closed = TRUE;
   return TRUE;
 }
 
 static void
-S_on_drop (MrRelayHost *host, guint64 id)
+S_close_call (MrRelayHost *host, guint64 id)
 {
   Daemon *daemon = (Daemon *) host;
-  Call *call = g_hash_table_lookup (daemon->world->by_id[daemon->index], &id);
-  call->dropped = TRUE;
-  /* Most targets drop the work of a connection that closes. */
-  if (call->ask->crasher && call->running && !daemon->world->plan->poison.crashes_after_disconnect)
-    S_free_slot (daemon->world, call);
+  Call *call = g_hash_table_lookup (daemon->sim->by_id[daemon->index], &id);
+  call->closed = TRUE;
+  /* Most targets abort a call when its connection is closed. */
+  if (call->request->is_poison && call->running &&
+      !daemon->sim->plan->poison.crashes_after_disconnect)
+    S_release_slot (daemon->sim, call);
 }
 
 static void
-S_on_probe (MrRelayHost *host, const MrTargetState *target)
+S_probe (MrRelayHost *host, const MrTargetState *target)
 {
   Daemon *daemon = (Daemon *) host;
-  World *w = daemon->world;
-  for (guint i = 0; i < w->target_count; i++)
-    if (g_str_equal (w->targets[i].id, target->id))
-      S_at (w, w->now + 2 * ONE_WAY_US + HANDSHAKE_US, EVENT_PROBED, daemon, i);
+  Simulation *sim = daemon->sim;
+  for (guint i = 0; i < sim->target_count; i++)
+    if (g_str_equal (sim->targets[i].id, target->id))
+      S_schedule (sim, sim->now + 2 * ONE_WAY_DELAY_US + HANDSHAKE_US, EVENT_PROBE_DONE, daemon, i);
 }
 
 static void
-S_on_renew (MrRelayHost *host, const MrTargetState *target)
+S_reconnect (MrRelayHost *host, const MrTargetState *target)
 {
   (void) host;
   (void) target;
 }
 
 static void
-S_on_evidence (MrRelayHost *host, MrFingerprint fingerprint, const MrEvidence *evidence)
+S_publish_evidence (MrRelayHost *host, MrFingerprint fingerprint, const MrEvidence *evidence)
 {
   const Daemon *daemon = (const Daemon *) host;
-  World *w = daemon->world;
-  News *news = g_new (News, 1);
-  *news = (News){ daemon->index, fingerprint, *evidence };
-  g_ptr_array_add (w->news, news);
-  S_at (w, w->now + S_ms (w->plan->evidence_delay_ms), EVENT_NEWS, news, 0);
+  Simulation *sim = daemon->sim;
+  EvidenceMessage *message = g_new (EvidenceMessage, 1);
+  *message = (EvidenceMessage){ daemon->index, fingerprint, *evidence };
+  g_ptr_array_add (sim->messages, message);
+  S_schedule (sim, sim->now + S_ms (sim->plan->evidence_delay_ms), EVENT_EVIDENCE, message, 0);
 }
 
 static void
-S_on_news (World *w, const News *news)
+S_on_evidence (Simulation *sim, const EvidenceMessage *message)
 {
-  for (guint i = 0; i < w->plan->daemons; i++)
-    if (i != news->from)
+  for (guint i = 0; i < sim->plan->daemons; i++)
+    if (i != message->from)
       {
-        mr_relay_merge_evidence (w->daemons[i].relay, w->now, news->fingerprint, &news->evidence);
-        S_wake (&w->daemons[i], w->now);
+        mr_relay_merge_evidence (sim->daemons[i].relay, sim->now, message->fingerprint,
+                                 &message->evidence);
+        S_schedule_tick (&sim->daemons[i], sim->now);
       }
 }
 
-/* One daemon has the turn to try contents that are on probation. */
+/* Only the first daemon may try contents that are on probation. */
 static gboolean
-S_may_probe (MrRelayHost *host, MrFingerprint fingerprint)
+S_may_try_content (MrRelayHost *host, MrFingerprint fingerprint)
 {
   (void) fingerprint;
   return ((const Daemon *) host)->index == 0;
 }
 
-/* The crasher earns nothing and isn't missed; its caller may come again at once. */
+/* Poison requests do not count in the routes' statistics.  Their callers may retry at once. */
 static void
-S_note_crasher (Ask *ask, const MrRelayResult *result)
+S_record_poison_result (Request *request, const MrRelayResult *result)
 {
-  World *w = ask->world;
+  Simulation *sim = request->sim;
   if (result->verdict <= MR_VERDICT_MERGE)
-    w->result->poison_served++;
-  else if (ask->repeats > 0)
-    S_at (w, w->now + 2 * ONE_WAY_US, EVENT_CRASHER, GUINT_TO_POINTER (ask->content),
-          ask->repeats - 1);
+    sim->result->poison_served++;
+  else if (request->retries_left > 0)
+    S_schedule (sim, sim->now + 2 * ONE_WAY_DELAY_US, EVENT_POISON_REQUEST,
+                GUINT_TO_POINTER (request->poison_content), request->retries_left - 1);
 }
 
 static void
-S_score (Ask *ask, const MrRelayResult *result)
+S_record_result (Request *request, const MrRelayResult *result)
 {
-  World *w = ask->world;
-  if (ask->crasher)
+  Simulation *sim = request->sim;
+  if (request->is_poison)
     {
-      S_note_crasher (ask, result);
+      S_record_poison_result (request, result);
       return;
     }
-  SimRouteStats *kind = &w->result->routes[ask->route];
-  const SimRoute *route = &w->plan->routes[ask->route];
+  SimRouteStats *stats = &sim->result->routes[request->route];
+  const SimRoute *route = &sim->plan->routes[request->route];
   if (result->cause == MR_CAUSE_QUARANTINED)
-    kind->quarantined++;
-  MrTime took = w->now - ask->arrived;
+    stats->quarantined++;
+  MrTime took = sim->now - request->arrived;
   if (result->verdict == MR_VERDICT_REFUSED)
     {
-      kind->refused++;
-      if (ask->ran > 0)
-        w->result->false_not_run++;
+      stats->refused++;
+      if (request->executions > 0)
+        sim->result->false_not_run++;
       return;
     }
   if (result->verdict > MR_VERDICT_MERGE)
     {
-      kind->failed++;
+      stats->failed++;
       return;
     }
   guint have = 0;
   for (guint i = 0; i < result->part_count; i++)
     have += result->answers[i] != NULL;
-  double share = (double) have / result->part_count;
-  if (have + result->missing_parts != result->part_count || share < route->min_coverage)
-    w->result->wrong_shard_counts++;
-  kind->missing_shards += (double) result->missing_parts / result->part_count;
-  /* The caller's clock runs for some 12 ms more: its connection and the way. */
-  gboolean in_time = took + 12 * MR_MS <= S_ms (route->latency_goal_ms);
-  in_time ? kind->on_time++ : kind->late++;
-  kind->utility += share * share * (in_time ? 1 : 0.1);
+  double coverage = (double) have / result->part_count;
+  if (have + result->missing_parts != result->part_count || coverage < route->min_coverage)
+    sim->result->wrong_shard_counts++;
+  stats->missing_shards += (double) result->missing_parts / result->part_count;
+  /* Connecting and network delay add about 12 ms to the latency that the caller sees. */
+  gboolean on_time = took + 12 * MR_MS <= S_ms (route->latency_goal_ms);
+  on_time ? stats->on_time++ : stats->late++;
+  stats->utility += coverage * coverage * (on_time ? 1 : 0.1);
 }
 
 static void
-S_on_done (MrRelayHost *host, gpointer request, const MrRelayResult *result)
+S_request_done (MrRelayHost *host, gpointer host_request, const MrRelayResult *result)
 {
-  Ask *ask = request;
+  Request *request = host_request;
   (void) host;
-  ask->ended = TRUE;
-  ask->work = NULL;
-  const MrRoute *route = ask->world->routes[ask->route];
-  if (ask->world->now - ask->arrived > route->time_limit + SLACK_US)
-    ask->world->result->late_verdicts++;
-  S_score (ask, result);
+  request->done = TRUE;
+  request->active = NULL;
+  const MrRoute *route = request->sim->routes[request->route];
+  if (request->sim->now - request->arrived > route->time_limit + VERDICT_SLACK_US)
+    request->sim->result->late_verdicts++;
+  S_record_result (request, result);
 }
 
 static void
@@ -557,166 +564,168 @@
 /* Callers. */
 
 static void
-S_next_arrival (World *w, guint route)
+S_next_arrival (Simulation *sim, guint route)
 {
-  double gap = S_exponential (w, 1e6 / w->plan->routes[route].requests_per_second);
-  S_at (w, w->now + (MrTime) gap, EVENT_ARRIVE, NULL, route);
+  double gap = S_exponential (sim, 1e6 / sim->plan->routes[route].requests_per_second);
+  S_schedule (sim, sim->now + (MrTime) gap, EVENT_REQUEST_ARRIVES, NULL, route);
 }
 
-static Ask *
-S_ask_new (World *w, guint route)
+static Request *
+S_request_new (Simulation *sim, guint route)
 {
-  Ask *ask = g_new0 (Ask, 1);
-  ask->world = w;
-  ask->route = route;
-  ask->daemon = &w->daemons[g_rand_int_range (w->random, 0, (gint32) w->plan->daemons)];
-  return ask;
+  Request *request = g_new0 (Request, 1);
+  request->sim = sim;
+  request->route = route;
+  request->daemon = &sim->daemons[g_rand_int_range (sim->random, 0, (gint32) sim->plan->daemons)];
+  return request;
 }
 
 static MrFingerprint
-S_fingerprint (const World *w, const Ask *ask)
+S_fingerprint (const Simulation *sim, const Request *request)
 {
-  if (ask->crasher)
-    return (MrFingerprint){ .high = CRASHER_CONTENT, .low = ask->content };
-  if (ask->popular)
-    return (MrFingerprint){ .high = POPULAR_CONTENT + ask->route };
-  return (MrFingerprint){ .low = w->asks->len };
+  if (request->is_poison)
+    return (MrFingerprint){ .high = POISON_CONTENT, .low = request->poison_content };
+  if (request->is_popular)
+    return (MrFingerprint){ .high = POPULAR_CONTENT + request->route };
+  return (MrFingerprint){ .low = sim->requests->len };
 }
 
 static void
-S_submit (World *w, Ask *ask)
+S_submit (Simulation *sim, Request *request)
 {
-  const SimRoute *route = &w->plan->routes[ask->route];
-  ask->arrived = w->now;
-  ask->deadline = w->now + S_ms (route->deadline_ms);
-  ask->sends = g_new0 (guint8, w->plan->shards);
-  ask->seen = g_new0 (guint64, w->plan->shards);
-  ask->held = g_new0 (guint64, w->plan->shards);
-  g_ptr_array_add (w->asks, ask);
-  guint parts = route->min_coverage > 0 ? w->plan->shards : 1;
+  const SimRoute *route = &sim->plan->routes[request->route];
+  request->arrived = sim->now;
+  request->deadline = sim->now + S_ms (route->deadline_ms);
+  request->calls_sent = g_new0 (guint8, sim->plan->shards);
+  request->targets_tried = g_new0 (guint64, sim->plan->shards);
+  request->targets_pending = g_new0 (guint64, sim->plan->shards);
+  g_ptr_array_add (sim->requests, request);
+  guint parts = route->min_coverage > 0 ? sim->plan->shards : 1;
   for (guint i = 0; i < parts; i++)
-    g_array_append_val (w->ledgers[i].requests, w->now);
-  MrRelayRequestParams request = {
-    .host_request = ask,
-    .configuration = w->configuration,
-    .route = w->routes[ask->route],
-    .deadline = ask->deadline,
-    .fingerprint = S_fingerprint (w, ask),
+    g_array_append_val (sim->shard_logs[i].requests, sim->now);
+  MrRelayRequestParams params = {
+    .host_request = request,
+    .configuration = sim->configuration,
+    .route = sim->routes[request->route],
+    .deadline = request->deadline,
+    .fingerprint = S_fingerprint (sim, request),
   };
-  MrActiveRequest *work = mr_relay_submit (ask->daemon->relay, w->now, &request);
-  if (work && !ask->ended)
-    ask->work = work;
-  S_wake (ask->daemon, w->now);
+  MrActiveRequest *active = mr_relay_submit (request->daemon->relay, sim->now, &params);
+  if (active && !request->done)
+    request->active = active;
+  S_schedule_tick (request->daemon, sim->now);
 }
 
 static void
-S_on_arrive (World *w, guint index)
+S_on_request_arrives (Simulation *sim, guint index)
 {
-  const SimRoute *route = &w->plan->routes[index];
-  if (w->now >= w->end)
+  const SimRoute *route = &sim->plan->routes[index];
+  if (sim->now >= sim->end)
     return;
-  S_next_arrival (w, index);
-  Ask *ask = S_ask_new (w, index);
-  ask->popular = w->plan->popular_ratio > 0 && g_rand_double (w->random) < w->plan->popular_ratio;
-  w->result->routes[index].requests++;
-  if (g_rand_double (w->random) < w->plan->abandon_ratio)
-    S_at (w, w->now + S_ms (route->latency_goal_ms / 2), EVENT_GIVE_UP, ask, 0);
-  S_submit (w, ask);
+  S_next_arrival (sim, index);
+  Request *request = S_request_new (sim, index);
+  request->is_popular =
+      sim->plan->popular_ratio > 0 && g_rand_double (sim->random) < sim->plan->popular_ratio;
+  sim->result->routes[index].requests++;
+  if (g_rand_double (sim->random) < sim->plan->abandon_ratio)
+    S_schedule (sim, sim->now + S_ms (route->latency_goal_ms / 2), EVENT_ABANDON, request, 0);
+  S_submit (sim, request);
 }
 
 static void
-S_on_crasher (World *w, guint content, guint repeats)
+S_on_poison_request (Simulation *sim, guint content, guint repeats)
 {
-  Ask *ask = S_ask_new (w, w->plan->poison.route);
-  ask->crasher = TRUE;
-  ask->content = content;
-  ask->repeats = repeats;
-  S_submit (w, ask);
+  Request *request = S_request_new (sim, sim->plan->poison.route);
+  request->is_poison = TRUE;
+  request->poison_content = content;
+  request->retries_left = repeats;
+  S_submit (sim, request);
 }
 
 static void
-S_on_give_up (World *w, Ask *ask)
+S_on_abandon (Simulation *sim, Request *request)
 {
-  if (ask->ended)
+  if (request->done)
     return;
-  ask->ended = TRUE;
-  ask->gone_at = w->now;
-  w->result->routes[ask->route].abandoned++;
-  mr_relay_abandon_request (ask->daemon->relay, w->now, ask->work);
+  request->done = TRUE;
+  request->abandoned_at = sim->now;
+  sim->result->routes[request->route].abandoned++;
+  mr_relay_abandon_request (request->daemon->relay, sim->now, request->active);
 }
 
-/* Troubles. */
+/* Faults. */
 
 static void
-S_list (World *w, const Target *target, gboolean leaving, MrTime cold_for)
+S_update_listing (Simulation *sim, const Target *target, gboolean leaving, MrTime cold_for)
 {
   char service[32];
   g_snprintf (service, sizeof service, "s%u", target->shard);
-  MrTarget info = { .port = 1000 + (int) target->index, .slots = w->plan->slots };
-  info.connections = w->plan->connections;
+  MrTarget info = { .port = 1000 + (int) target->index, .slots = sim->plan->slots };
+  info.connections = sim->plan->connections;
   g_strlcpy (info.id, target->id, sizeof info.id);
   g_strlcpy (info.ip, "10.0.0.1", sizeof info.ip);
   g_snprintf (info.domain, sizeof info.domain, "d%u", target->index % SIM_DOMAINS);
-  for (guint i = 0; i < w->plan->daemons; i++)
-    mr_relay_update_target (w->daemons[i].relay, w->now, service, &info, leaving, cold_for);
+  for (guint i = 0; i < sim->plan->daemons; i++)
+    mr_relay_update_target (sim->daemons[i].relay, sim->now, service, &info, leaving, cold_for);
 }
 
-/* All daemons hear of it at once. */
+/* Starts or ends an evacuation, without delay at all daemons. */
 static void
-S_evacuate (World *w, const SimFault *event, gboolean begins)
+S_evacuate (Simulation *sim, const SimFault *fault, gboolean starts)
 {
   g_autoptr (GHashTable) domains = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (guint i = 0; i < SIM_DOMAINS; i++)
     {
-      if (i >= event->first && i <= event->last)
-        w->evacuated_at[i] = begins ? w->now : 0;
-      if (w->evacuated_at[i] != 0)
+      if (i >= fault->first && i <= fault->last)
+        sim->evacuated_at[i] = starts ? sim->now : 0;
+      if (sim->evacuated_at[i] != 0)
         g_hash_table_add (domains, g_strdup_printf ("d%u", i));
     }
-  for (guint i = 0; i < w->plan->daemons; i++)
+  for (guint i = 0; i < sim->plan->daemons; i++)
     {
-      mr_relay_set_evacuated (w->daemons[i].relay, w->now, domains);
-      S_wake (&w->daemons[i], w->now);
+      mr_relay_set_evacuated (sim->daemons[i].relay, sim->now, domains);
+      S_schedule_tick (&sim->daemons[i], sim->now);
     }
 }
 
 static void
-S_on_trouble (World *w, guint index)
+S_on_fault (Simulation *sim, guint index)
 {
-  const SimFault *event = &w->plan->faults[index / 2];
-  gboolean begins = index % 2 == 0;
-  if (event->type == SIM_FAULT_EVACUATED)
+  const SimFault *fault = &sim->plan->faults[index / 2];
+  gboolean starts = index % 2 == 0;
+  if (fault->type == SIM_FAULT_EVACUATED)
     {
-      S_evacuate (w, event, begins);
+      S_evacuate (sim, fault, starts);
       return;
     }
-  for (guint i = event->first; i <= event->last && i < w->target_count; i += MAX (event->stride, 1))
+  for (guint i = fault->first; i <= fault->last && i < sim->target_count;
+       i += MAX (fault->stride, 1))
     {
-      Target *target = &w->targets[i];
-      target->trouble = begins ? event->type : SIM_FAULT_NONE;
-      target->factor = begins ? event->factor : 0;
-      if (!begins)
+      Target *target = &sim->targets[i];
+      target->fault = starts ? fault->type : SIM_FAULT_NONE;
+      target->factor = starts ? fault->factor : 0;
+      if (!starts)
         continue;
-      if (event->type == SIM_FAULT_CRASHED || event->type == SIM_FAULT_CRASHED_AND_REMOVED)
-        S_end_process (w, target);
-      if (event->type == SIM_FAULT_COLD && target->leaving_at == 0)
+      if (fault->type == SIM_FAULT_CRASHED || fault->type == SIM_FAULT_CRASHED_AND_REMOVED)
+        S_crash_process (sim, target);
+      if (fault->type == SIM_FAULT_COLD && target->leaving_since == 0)
         {
-          target->cold_until = S_ms (event->to_ms);
-          S_list (w, target, FALSE, target->cold_until - w->now);
+          target->cold_until = S_ms (fault->to_ms);
+          S_update_listing (sim, target, FALSE, target->cold_until - sim->now);
         }
-      if (event->type == SIM_FAULT_REMOVED || event->type == SIM_FAULT_LEAVING)
-        target->leaving_at = w->now;
-      if (event->type == SIM_FAULT_LEAVING)
-        S_list (w, target, TRUE, 0);
-      if (event->type == SIM_FAULT_REMOVED || event->type == SIM_FAULT_CRASHED_AND_REMOVED)
-        S_withdraw (w, target);
+      if (fault->type == SIM_FAULT_REMOVED || fault->type == SIM_FAULT_LEAVING)
+        target->leaving_since = sim->now;
+      if (fault->type == SIM_FAULT_LEAVING)
+        S_update_listing (sim, target, TRUE, 0);
+      if (fault->type == SIM_FAULT_REMOVED || fault->type == SIM_FAULT_CRASHED_AND_REMOVED)
+        S_remove_target (sim, target);
     }
 }
 
-/* Set-up. */
+/* Setup. */
 
 static MrConfiguration *
-S_configure (const SimPlan *plan)
+S_make_configuration (const SimPlan *plan)
 {
   GString *json = g_string_new ("{\"version\":1,\"limits\":{\"head_bytes\":1,\"body_bytes\":1,"
                                 "\"head_time\":1,\"idle_time\":1},\"services\":[");
@@ -747,284 +756,284 @@
 }
 
 static void
-S_make_daemons (World *w)
+S_make_daemons (Simulation *sim)
 {
   static const MrRelayHost host = {
-    .send_call = S_on_call,
-    .close_call = S_on_drop,
-    .withdraw_call = S_on_take_back,
-    .probe = S_on_probe,
-    .reconnect = S_on_renew,
-    .request_done = S_on_done,
+    .send_call = S_send_call,
+    .close_call = S_close_call,
+    .withdraw_call = S_withdraw_call,
+    .probe = S_probe,
+    .reconnect = S_reconnect,
+    .request_done = S_request_done,
     .free_answer = S_free_answer,
-    .publish_evidence = S_on_evidence,
-    .may_try_content = S_may_probe,
+    .publish_evidence = S_publish_evidence,
+    .may_try_content = S_may_try_content,
   };
-  for (guint i = 0; i < w->plan->daemons; i++)
+  for (guint i = 0; i < sim->plan->daemons; i++)
     {
-      Daemon *daemon = &w->daemons[i];
+      Daemon *daemon = &sim->daemons[i];
       char domain[8];
       g_snprintf (domain, sizeof domain, "d%u", i % SIM_DOMAINS);
-      MrRelayOptions info = {
+      MrRelayOptions options = {
         .domain = domain,
-        .policy = w->plan->policy ? w->plan->policy : &mr_relay_policy,
-        .seed = w->plan->seed + i,
-        .budget = { .window = WINDOW_US,
-                    .ratio = RATIO_PERCENT / 100.0,
-                    .allowance = ALLOWANCE,
-                    .share = 1.0 / w->plan->daemons,
+        .policy = sim->plan->policy ? sim->plan->policy : &mr_relay_policy,
+        .seed = sim->plan->seed + i,
+        .budget = { .window = RESEND_WINDOW_US,
+                    .ratio = RESEND_RATIO_PERCENT / 100.0,
+                    .allowance = RESEND_ALLOWANCE,
+                    .share = 1.0 / sim->plan->daemons,
                     .margin = MR_RESEND_BUDGET_MARGIN,
                     .started_at = 0 },
-        .cold_limit = { .rate_factor = COLD_FACTOR, .slack = COLD_SLACK },
+        .cold_limit = { .rate_factor = COLD_RATE_FACTOR, .slack = COLD_RATE_SLACK },
       };
-      *daemon = (Daemon){ .host = host, .world = w, .index = i, .tick_at = MR_NEVER };
-      daemon->relay = mr_relay_new (&daemon->host, &info);
+      *daemon = (Daemon){ .host = host, .sim = sim, .index = i, .tick_at = MR_NEVER };
+      daemon->relay = mr_relay_new (&daemon->host, &options);
       MrRelayShares shares = {
-        .connections = 1 / (1.5 * w->plan->daemons),
-        .slots = 1.0 / w->plan->daemons,
-        .allowance = 1.0 / w->plan->daemons,
-        .cold = 1.0 / w->plan->daemons,
+        .connections = 1 / (1.5 * sim->plan->daemons),
+        .slots = 1.0 / sim->plan->daemons,
+        .allowance = 1.0 / sim->plan->daemons,
+        .cold = 1.0 / sim->plan->daemons,
       };
       mr_relay_set_shares (daemon->relay, &shares);
     }
 }
 
 static void
-S_make_targets (World *w)
+S_make_targets (Simulation *sim)
 {
-  w->target_count = w->plan->shards * w->plan->replicas;
-  for (guint i = 0; i < w->target_count; i++)
+  sim->target_count = sim->plan->shards * sim->plan->replicas;
+  for (guint i = 0; i < sim->target_count; i++)
     {
-      Target *target = &w->targets[i];
-      *target = (Target){ .index = i, .shard = i / w->plan->replicas };
-      target->pause_at = S_ms (g_rand_double (w->random) * w->plan->pause_interval_ms);
+      Target *target = &sim->targets[i];
+      *target = (Target){ .index = i, .shard = i / sim->plan->replicas };
+      target->next_pause_at = S_ms (g_rand_double (sim->random) * sim->plan->pause_interval_ms);
       g_snprintf (target->id, sizeof target->id, "t%u", i);
       g_queue_init (&target->queue);
-      S_list (w, target, FALSE, 0);
+      S_update_listing (sim, target, FALSE, 0);
     }
 }
 
 static void
-S_plan_troubles (World *w)
+S_schedule_faults (Simulation *sim)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (w->plan->faults); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (sim->plan->faults); i++)
     {
-      const SimFault *event = &w->plan->faults[i];
-      if (event->type == SIM_FAULT_NONE)
+      const SimFault *fault = &sim->plan->faults[i];
+      if (fault->type == SIM_FAULT_NONE)
         continue;
-      S_at (w, S_ms (event->from_ms), EVENT_TROUBLE, NULL, 2 * i);
-      if (event->to_ms > 0)
-        S_at (w, S_ms (event->to_ms), EVENT_TROUBLE, NULL, 2 * i + 1);
+      S_schedule (sim, S_ms (fault->from_ms), EVENT_FAULT, NULL, 2 * i);
+      if (fault->to_ms > 0)
+        S_schedule (sim, S_ms (fault->to_ms), EVENT_FAULT, NULL, 2 * i + 1);
     }
 }
 
 static void
-S_plan_crasher (World *w)
+S_schedule_poison (Simulation *sim)
 {
-  const SimPoisonRequest *crasher = &w->plan->poison;
-  for (guint i = 0; i < crasher->count; i++)
-    for (guint copy = 0; copy < MAX (crasher->copies, 1); copy++)
-      S_at (w, S_ms (crasher->from_ms + i * crasher->interval_ms), EVENT_CRASHER,
-            GUINT_TO_POINTER (crasher->varying_content ? i : 0), crasher->caller_retries);
+  const SimPoisonRequest *poison = &sim->plan->poison;
+  for (guint i = 0; i < poison->count; i++)
+    for (guint copy = 0; copy < MAX (poison->copies, 1); copy++)
+      S_schedule (sim, S_ms (poison->from_ms + i * poison->interval_ms), EVENT_POISON_REQUEST,
+                  GUINT_TO_POINTER (poison->varying_content ? i : 0), poison->caller_retries);
 }
 
 static void
-S_on_event (World *w, const Event *event)
+S_on_event (Simulation *sim, const Event *event)
 {
-  Call *call = event->subject;
-  Daemon *daemon = event->subject;
+  Call *call = event->object;
+  Daemon *daemon = event->object;
   switch (event->type)
     {
-    case EVENT_ARRIVE:
-      S_on_arrive (w, event->index);
+    case EVENT_REQUEST_ARRIVES:
+      S_on_request_arrives (sim, event->index);
       break;
-    case EVENT_REACH:
-      S_on_reach (w, call);
+    case EVENT_CALL_ARRIVES:
+      S_on_call_arrives (sim, call);
       break;
-    case EVENT_FINISH:
-      S_on_finish (w, call);
+    case EVENT_CALL_DONE:
+      S_on_call_done (sim, call);
       break;
-    case EVENT_REPLY:
-      if (!call->dropped)
+    case EVENT_RESPONSE:
+      if (!call->closed)
         {
-          mr_relay_call_end (call->daemon->relay, w->now, call->id, call->outcome,
-                             call->outcome == MR_CALL_ANSWER ? w : NULL);
-          S_wake (call->daemon, w->now);
+          mr_relay_call_end (call->daemon->relay, sim->now, call->id, call->outcome,
+                             call->outcome == MR_CALL_ANSWER ? sim : NULL);
+          S_schedule_tick (call->daemon, sim->now);
         }
       break;
     case EVENT_TICK:
       if (event->at != daemon->tick_at)
-        break; /* an earlier one has replaced it */
+        break; /* replaced by an earlier tick */
       daemon->tick_at = MR_NEVER;
-      S_wake (daemon, MAX (mr_relay_tick (daemon->relay, w->now), w->now + 1));
+      S_schedule_tick (daemon, MAX (mr_relay_tick (daemon->relay, sim->now), sim->now + 1));
       break;
-    case EVENT_TROUBLE:
-      S_on_trouble (w, event->index);
+    case EVENT_FAULT:
+      S_on_fault (sim, event->index);
       break;
-    case EVENT_GIVE_UP:
-      S_on_give_up (w, event->subject);
+    case EVENT_ABANDON:
+      S_on_abandon (sim, event->object);
       break;
-    case EVENT_CRASHER:
-      S_on_crasher (w, GPOINTER_TO_UINT (event->subject), event->index);
+    case EVENT_POISON_REQUEST:
+      S_on_poison_request (sim, GPOINTER_TO_UINT (event->object), event->index);
       break;
     case EVENT_CRASH:
-      S_on_crash (w, call);
+      S_on_crash (sim, call);
       break;
-    case EVENT_NEWS:
-      S_on_news (w, event->subject);
+    case EVENT_EVIDENCE:
+      S_on_evidence (sim, event->object);
       break;
-    case EVENT_BACK:
-      w->targets[event->index].trouble = SIM_FAULT_NONE;
+    case EVENT_RESTART:
+      sim->targets[event->index].fault = SIM_FAULT_NONE;
       break;
-    case EVENT_PROBED:
+    case EVENT_PROBE_DONE:
       {
-        const Target *target = &w->targets[event->index];
-        gboolean lives =
-            target->trouble != SIM_FAULT_UNRESPONSIVE && !S_takes_no_connections (target);
-        mr_relay_probe_end (daemon->relay, w->now, target->id, lives);
-        S_wake (daemon, w->now);
+        const Target *target = &sim->targets[event->index];
+        gboolean alive = target->fault != SIM_FAULT_UNRESPONSIVE && !S_refuses_connections (target);
+        mr_relay_probe_end (daemon->relay, sim->now, target->id, alive);
+        S_schedule_tick (daemon, sim->now);
         break;
       }
     }
 }
 
-/* Checks of the whole run. */
+/* Checks at the end of a run. */
 
-/* How many of @times, which are sorted, lie in the window that ends at @end;
- * @first and @last walk on from call to call. */
+/* Counts the elements of @times, which are sorted, in the window that ends at @end.  @first and
+ * @last are kept between calls with increasing @end. */
 static guint
-S_in_window (const GArray *times, MrTime end, guint *first, guint *last)
+S_count_in_window (const GArray *times, MrTime end, guint *first, guint *last)
 {
   while (*last < times->len && g_array_index (times, MrTime, *last) <= end)
     (*last)++;
-  while (*first < *last && g_array_index (times, MrTime, *first) <= end - WINDOW_US)
+  while (*first < *last && g_array_index (times, MrTime, *first) <= end - RESEND_WINDOW_US)
     (*first)++;
   return *last - *first;
 }
 
-/* Most second sends over the bound in any window that ends with one. */
+/* Returns the most hedges and retries over the budget in any window that ends with one. */
 static guint
-S_over_budget (const Ledger *ledger)
+S_budget_excess (const ShardLog *log)
 {
-  guint worst = 0;
-  guint places[4] = { 0 };
-  for (guint i = 0; i < ledger->extras->len; i++)
+  guint max_excess = 0;
+  guint positions[4] = { 0 };
+  for (guint i = 0; i < log->resends->len; i++)
     {
-      MrTime end = g_array_index (ledger->extras, MrTime, i);
-      guint extras = S_in_window (ledger->extras, end, &places[0], &places[1]);
-      guint requests = S_in_window (ledger->requests, end, &places[2], &places[3]);
-      double most = RATIO_PERCENT / 100.0 * requests + ALLOWANCE;
-      if (extras > most)
-        worst = MAX (worst, (guint) (extras - most));
+      MrTime end = g_array_index (log->resends, MrTime, i);
+      guint resends = S_count_in_window (log->resends, end, &positions[0], &positions[1]);
+      guint requests = S_count_in_window (log->requests, end, &positions[2], &positions[3]);
+      double most = RESEND_RATIO_PERCENT / 100.0 * requests + RESEND_ALLOWANCE;
+      if (resends > most)
+        max_excess = MAX (max_excess, (guint) (resends - most));
     }
-  return worst;
+  return max_excess;
 }
 
 static void
-S_check (World *w)
+S_check_run (Simulation *sim)
 {
-  for (guint i = 0; i < w->plan->shards; i++)
-    w->result->max_budget_excess =
-        MAX (w->result->max_budget_excess, S_over_budget (&w->ledgers[i]));
-  for (guint i = 0; i < w->asks->len; i++)
+  for (guint i = 0; i < sim->plan->shards; i++)
+    sim->result->max_budget_excess =
+        MAX (sim->result->max_budget_excess, S_budget_excess (&sim->shard_logs[i]));
+  for (guint i = 0; i < sim->requests->len; i++)
     {
-      const Ask *ask = g_ptr_array_index (w->asks, i);
-      if (!ask->ended)
-        w->result->unanswered++;
-      if (w->plan->routes[ask->route].unsafe && ask->ran > 1)
-        w->result->ran_twice++;
+      const Request *request = g_ptr_array_index (sim->requests, i);
+      if (!request->done)
+        sim->result->unanswered++;
+      if (sim->plan->routes[request->route].unsafe && request->executions > 1)
+        sim->result->ran_twice++;
     }
-  for (guint i = 0; i < w->calls->len; i++)
+  for (guint i = 0; i < sim->calls->len; i++)
     {
-      const Call *call = g_ptr_array_index (w->calls, i);
-      if (call->ask->gone_at && !w->plan->routes[call->ask->route].unsafe && !call->dropped &&
-          call->outcome == MR_CALL_ANSWER && call->running)
-        w->result->calls_after_abandon++;
+      const Call *call = g_ptr_array_index (sim->calls, i);
+      if (call->request->abandoned_at && !sim->plan->routes[call->request->route].unsafe &&
+          !call->closed && call->outcome == MR_CALL_ANSWER && call->running)
+        sim->result->calls_after_abandon++;
     }
 }
 
 static void
-S_ask_free (gpointer data)
+S_request_free (gpointer data)
 {
-  Ask *ask = data;
-  g_free (ask->sends);
-  g_free (ask->seen);
-  g_free (ask->held);
-  g_free (ask);
+  Request *request = data;
+  g_free (request->calls_sent);
+  g_free (request->targets_tried);
+  g_free (request->targets_pending);
+  g_free (request);
 }
 
 static void
-S_clear (World *w)
+S_free (Simulation *sim)
 {
-  for (guint i = 0; i < w->plan->daemons; i++)
+  for (guint i = 0; i < sim->plan->daemons; i++)
     {
-      mr_relay_free (w->daemons[i].relay);
-      g_hash_table_unref (w->by_id[i]);
+      mr_relay_free (sim->daemons[i].relay);
+      g_hash_table_unref (sim->by_id[i]);
     }
-  for (guint i = 0; i < w->plan->shards; i++)
+  for (guint i = 0; i < sim->plan->shards; i++)
     {
-      g_array_unref (w->ledgers[i].requests);
-      g_array_unref (w->ledgers[i].extras);
+      g_array_unref (sim->shard_logs[i].requests);
+      g_array_unref (sim->shard_logs[i].resends);
     }
-  for (guint i = 0; i < w->target_count; i++)
+  for (guint i = 0; i < sim->target_count; i++)
     {
-      g_queue_clear (&w->targets[i].queue);
-      g_queue_clear_full (&w->targets[i].cold_calls, g_free);
+      g_queue_clear (&sim->targets[i].queue);
+      g_queue_clear_full (&sim->targets[i].cold_calls, g_free);
     }
-  g_free (w->ledgers);
-  g_ptr_array_unref (w->calls);
-  g_ptr_array_unref (w->asks);
-  g_ptr_array_unref (w->news);
-  g_sequence_free (w->events);
-  mr_configuration_unref (w->configuration);
-  g_rand_free (w->random);
-  g_free (w);
+  g_free (sim->shard_logs);
+  g_ptr_array_unref (sim->calls);
+  g_ptr_array_unref (sim->requests);
+  g_ptr_array_unref (sim->messages);
+  g_sequence_free (sim->events);
+  mr_configuration_unref (sim->configuration);
+  g_rand_free (sim->random);
+  g_free (sim);
 }
 
 void
 sim_run (const SimPlan *plan, SimResult *result)
 {
-  World *w = g_new0 (World, 1);
+  Simulation *sim = g_new0 (Simulation, 1);
   *result = (SimResult){ 0 };
-  w->plan = plan;
-  w->result = result;
-  w->random = g_rand_new_with_seed (plan->seed);
-  w->events = g_sequence_new (g_free);
-  w->calls = g_ptr_array_new_with_free_func (g_free);
+  sim->plan = plan;
+  sim->result = result;
+  sim->random = g_rand_new_with_seed (plan->seed);
+  sim->events = g_sequence_new (g_free);
+  sim->calls = g_ptr_array_new_with_free_func (g_free);
   for (guint i = 0; i < plan->daemons; i++)
-    w->by_id[i] = g_hash_table_new (g_int64_hash, g_int64_equal);
-  w->asks = g_ptr_array_new_with_free_func (S_ask_free);
-  w->news = g_ptr_array_new_with_free_func (g_free);
-  w->ledgers = g_new0 (Ledger, plan->shards);
+    sim->by_id[i] = g_hash_table_new (g_int64_hash, g_int64_equal);
+  sim->requests = g_ptr_array_new_with_free_func (S_request_free);
+  sim->messages = g_ptr_array_new_with_free_func (g_free);
+  sim->shard_logs = g_new0 (ShardLog, plan->shards);
   for (guint i = 0; i < plan->shards; i++)
-    w->ledgers[i] = (Ledger){ g_array_new (FALSE, FALSE, sizeof (MrTime)),
-                              g_array_new (FALSE, FALSE, sizeof (MrTime)) };
-  w->now = MR_SECOND;
-  w->end = w->now + (MrTime) (plan->duration_s * (double) MR_SECOND);
-  w->configuration = S_configure (plan);
-  S_make_daemons (w);
-  S_make_targets (w);
-  S_plan_troubles (w);
-  S_plan_crasher (w);
+    sim->shard_logs[i] = (ShardLog){ g_array_new (FALSE, FALSE, sizeof (MrTime)),
+                                     g_array_new (FALSE, FALSE, sizeof (MrTime)) };
+  sim->now = MR_SECOND;
+  sim->end = sim->now + (MrTime) (plan->duration_s * (double) MR_SECOND);
+  sim->configuration = S_make_configuration (plan);
+  S_make_daemons (sim);
+  S_make_targets (sim);
+  S_schedule_faults (sim);
+  S_schedule_poison (sim);
   for (guint r = 0; r < SIM_ROUTES_MAX && plan->routes[r].requests_per_second > 0; r++)
     {
       char path[8];
       g_snprintf (path, sizeof path, "/%u/", r);
-      w->routes[r] = mr_configuration_find_route (w->configuration, MR_TEXT ("h"), mr_text (path));
-      S_next_arrival (w, r);
+      sim->routes[r] =
+          mr_configuration_find_route (sim->configuration, MR_TEXT ("h"), mr_text (path));
+      S_next_arrival (sim, r);
     }
-  /* Everything has its verdict within the longest deadline after the last. */
-  MrTime stop = w->end + 12 * MR_SECOND;
-  for (GSequenceIter *first = g_sequence_get_begin_iter (w->events);
-       !g_sequence_iter_is_end (first); first = g_sequence_get_begin_iter (w->events))
+  /* All requests must have ended by then: the longest deadline is shorter. */
+  MrTime stop = sim->end + 12 * MR_SECOND;
+  for (GSequenceIter *first = g_sequence_get_begin_iter (sim->events);
+       !g_sequence_iter_is_end (first); first = g_sequence_get_begin_iter (sim->events))
     {
       Event event = *(Event *) g_sequence_get (first);
       g_sequence_remove (first);
       if (event.at > stop)
         break;
-      w->now = event.at;
-      S_on_event (w, &event);
+      sim->now = event.at;
+      S_on_event (sim, &event);
     }
-  S_check (w);
-  S_clear (w);
+  S_check_run (sim);
+  S_free (sim);
 }
--- a/test/relay_sim.h
+++ b/test/relay_sim.h
@@ -1,6 +1,6 @@
-/* A fleet of relays and their targets on a virtual clock, without a network:
- * targets have slots, a queue, pauses and bad days; callers ask at random times.
- * Every run of one seed is the same. */
+/* Discrete-event simulation of a fleet of relays and their targets, on a virtual clock and
+ * without a network.  Targets have slots, a queue, pauses and injected faults; requests
+ * arrive at random times.  Runs with the same seed are identical. */
 #pragma once
 
 #include "relay.h"
@@ -11,67 +11,65 @@
   SIM_DAEMONS_MAX = 12,
   SIM_TARGETS_MAX = 256,
   SIM_DOMAINS = 3,
-  SIM_EVIDENCE_SPREAD_MS = 4000, /* within which all daemons know what one has learned */
+  SIM_EVIDENCE_SPREAD_MS = 4000, /* allowed time until all daemons have received evidence */
 };
 
 typedef struct
 {
   double requests_per_second; /* over all daemons */
-  double service_time_ms;     /* mean, exponential above half of it */
+  double service_time_ms;     /* mean; half of it is fixed, half exponentially distributed */
   double latency_goal_ms;
   double deadline_ms;
-  double min_coverage; /* 0: one service, not shards */
+  double min_coverage; /* 0: a single service instead of shards */
   guint priority;
-  bool unsafe;
+  bool unsafe; /* not idempotent */
 } SimRoute;
 
-/* What befalls targets; times in ms, first and last target by index. */
 typedef enum
 {
   SIM_FAULT_NONE,
-  SIM_FAULT_REMOVED,             /* listed as gone and ended */
-  SIM_FAULT_UNRESPONSIVE,        /* silent: calls hang */
-  SIM_FAULT_REFUSES_CONNECTIONS, /* connections are refused */
-  SIM_FAULT_SLOW,                /* work takes `factor` times as long */
-  SIM_FAULT_ERRORS,              /* `factor` of the calls fail */
-  SIM_FAULT_SHEDS,               /* `factor` of the calls are refused, not run */
-  SIM_FAULT_LOSES_RESPONSES,     /* `factor` of the calls run and lose their answer */
+  SIM_FAULT_REMOVED,      /* its entry is removed and it refuses connections */
+  SIM_FAULT_UNRESPONSIVE, /* calls get no response */
+  SIM_FAULT_REFUSES_CONNECTIONS,
+  SIM_FAULT_SLOW,                /* service time is multiplied by `factor` */
+  SIM_FAULT_ERRORS,              /* fraction `factor` of the calls fail */
+  SIM_FAULT_SHEDS,               /* fraction `factor` of the calls are refused without running */
+  SIM_FAULT_LOSES_RESPONSES,     /* fraction `factor` of the calls run, but the response is lost */
   SIM_FAULT_LEAVING,             /* listed as leaving */
-  SIM_FAULT_CRASHED, /* its process ends, with all connections; refuses until it is back */
-  SIM_FAULT_CRASHED_AND_REMOVED, /* its process ends and its entry is removed, at one moment, for
-                                    good */
-  SIM_FAULT_COLD,                /* listed as cold until the end of the event */
-  SIM_FAULT_EVACUATED,           /* failure domains `first` to `last`, not targets, are evacuated */
+  SIM_FAULT_CRASHED,             /* closes all connections; refuses new ones until it is back */
+  SIM_FAULT_CRASHED_AND_REMOVED, /* the same, and its entry is removed at that moment, for good */
+  SIM_FAULT_COLD,                /* listed as cold until the end of the fault */
+  SIM_FAULT_EVACUATED,           /* `first` to `last` are failure domains, not targets */
 } SimFaultType;
 
+/* A fault of the targets with indices `first` to `last`. */
 typedef struct
 {
   SimFaultType type;
   guint first;
   guint last;
-  guint stride; /* of these only each so many-th; 0 and 1: all */
+  guint stride; /* only every stride-th of these; 0 and 1: all */
   double from_ms;
-  double to_ms;
+  double to_ms; /* 0: never ends */
   double factor;
 } SimFault;
 
-/* A request that ends each target that begins it, and comes again: the same content each
- * time, under new ids, at daemons chosen at random. */
+/* A request that crashes each target that runs it and is sent repeatedly, with new request ids,
+ * to daemons chosen at random. */
 typedef struct
 {
-  guint count; /* 0: none; times that it comes */
+  guint count; /* times that it is sent; 0: none */
   guint route;
   double from_ms;
   double interval_ms;      /* between two times */
-  bool varying_content;    /* another content each time */
-  guint copies;            /* each time, at the same moment */
-  guint caller_retries;    /* by the caller of each copy, at once after an answer without success */
-  double time_to_crash_ms; /* from a target's begin to its end, mean */
-  double restart_ms;       /* until it takes connections again */
-  bool removes_target; /* a target's entry goes in the moment of its end, and it does not come back
-                        */
-  bool crashes_after_disconnect; /* a target that has begun it ends, also once its connection is
-                                    closed */
+  bool varying_content;    /* a different content each time */
+  guint copies;            /* requests at each of these times */
+  guint caller_retries;    /* of each copy, immediately after an unsuccessful response */
+  double time_to_crash_ms; /* from the start of the call, mean */
+  double restart_ms;       /* until the target accepts connections again */
+  bool removes_target;     /* its entry is removed with the crash and it does not restart */
+  /* A target that runs the request crashes even if its connection has been closed. */
+  bool crashes_after_disconnect;
 } SimPoisonRequest;
 
 typedef struct
@@ -79,62 +77,66 @@
   guint32 seed;
   guint daemons;
   guint shards;
-  guint replicas; /* of each shard */
+  guint replicas; /* per shard */
   guint slots;
   guint queue;
   guint connections;
-  double pause_ms;          /* each target stands still this long... */
-  double pause_interval_ms; /* ...this often */
+  double pause_ms;          /* length of a target's periodic pauses */
+  double pause_interval_ms; /* from the start of a pause to the next */
   double duration_s;
-  double abandon_ratio; /* share of callers who leave after half of the aim */
-  double popular_ratio; /* share of the requests that ask for the same, by route */
+  double abandon_ratio; /* fraction of callers who disconnect after half of the latency goal */
+  double popular_ratio; /* fraction of a route's requests that have the same content */
   guint attempts;
-  const MrRelayPolicy *policy; /* NULL: the relay's */
+  const MrRelayPolicy *policy; /* NULL: mr_relay_policy */
   SimRoute routes[SIM_ROUTES_MAX];
   SimFault faults[8];
   SimPoisonRequest poison;
-  double cold_rate;         /* calls a second that a cold target is to get; 0: any */
-  double connect_ms;        /* a call waits so long for its connection before it is sent */
-  double evidence_delay_ms; /* from a daemon that has evidence against a content to all others */
+  double cold_rate;         /* call rate per second that a cold target can take; 0: unlimited */
+  double connect_ms;        /* time to connect before a call is sent */
+  double evidence_delay_ms; /* until published evidence reaches the other daemons */
 } SimPlan;
 
 typedef struct
 {
   guint requests;
-  guint on_time; /* within the aim */
+  guint on_time; /* within the latency goal */
   guint late;
   guint refused;
   guint failed;
   guint abandoned;
-  guint quarantined;     /* given up since their content was taken for one that ends targets */
-  double utility;        /* of `asked`: share of the shards squared in time, a tenth of it late */
-  double missing_shards; /* shards left out, of those asked */
+  guint quarantined; /* not completed because their content is quarantined */
+  /* Sum over the requests of the square of the fraction of shards in the response, of which
+   * a late response counts for a tenth. */
+  double utility;
+  double missing_shards; /* sum over the requests of the fraction of shards left out */
 } SimRouteStats;
 
 typedef struct
 {
   SimRouteStats routes[SIM_ROUTES_MAX];
   guint64 first_calls;
-  guint64 extra_calls;
+  guint64 extra_calls;        /* hedges and retries */
   guint64 cross_domain_calls; /* to targets of other failure domains */
-  guint max_budget_excess;    /* over the allowance in any window, of any service; 0 is right */
-  guint ran_twice;            /* unsafe requests that ran on two targets */
-  guint false_not_run;        /* refused as not run, though it ran */
-  guint excess_attempts; /* more targets of a shard than allowed, or one anew that may have run */
-  guint
-      calls_after_leaving; /* calls to a target later than the promised time after it was listed */
-  guint cold_excess;       /* calls over what a cold target bears, in its worst second */
-  guint
-      calls_after_evacuation; /* calls that reached an evacuated domain, later than one under way */
-  guint deadlines_extended;   /* calls that were told more time than their caller had */
-  guint unanswered;           /* neither a verdict nor gone by the end */
-  guint late_verdicts;        /* later than the route's time limit and half a second */
-  guint calls_after_abandon;  /* repeatable calls alive half a second after the caller left */
-  guint wrong_shard_counts;   /* answers under the least share, or counted wrongly */
-  guint poison_crashes;       /* targets that the crasher has ended */
-  guint poison_calls;         /* calls of it that reached targets */
-  guint poison_calls_late;    /* of them, later than WORLD_NEWS_MS after its third end */
-  guint poison_served;        /* times that it was answered with success */
+
+  /* Violations, 0 if correct. */
+  guint max_budget_excess; /* hedges and retries over the budget, in any window and shard */
+  guint ran_twice;         /* unsafe requests of which two calls ran */
+  guint false_not_run;     /* requests refused as not run that had run */
+  /* Calls to more targets of a shard than allowed, or again to one that may have run the call. */
+  guint excess_attempts;
+  guint calls_after_leaving; /* more than 3 s after the target was listed as leaving */
+  guint cold_excess;         /* calls over the rate limit of a cold target, in its worst second */
+  guint calls_after_evacuation; /* that arrived in an evacuated domain and were sent after it was */
+  guint deadlines_extended;     /* calls with a later deadline than their request */
+  guint unanswered;             /* requests neither answered nor abandoned by the end */
+  guint late_verdicts;          /* later than half a second after the route's time limit */
+  guint calls_after_abandon; /* idempotent calls of abandoned requests, still running at the end */
+  guint wrong_shard_counts;  /* coverage below the minimum, or shards not adding up */
+
+  guint poison_crashes;    /* targets that the poison request has crashed */
+  guint poison_calls;      /* its calls that reached targets */
+  guint poison_calls_late; /* of these, over SIM_EVIDENCE_SPREAD_MS after its third crash */
+  guint poison_served;     /* times that it was answered successfully */
 } SimResult;
 
 void sim_run (const SimPlan *plan, SimResult *result);
