--- a/test/prop_cold.cpp
+++ b/test/prop_cold.cpp
@@ -1,7 +1,7 @@
-// What all daemons together send to one cold target, under generated kills, restarts and cuts
-// of a fleet on a virtual clock.
+// Property test: the calls of all daemons to one cold target stay within its rate limit, under
+// generated kills, restarts and network partitions of a fleet on a virtual clock.
 //
-// What targets would see: more calls in one second than a cold one bears, which crashes it.
+// Guards against more calls per second than a cold target can take, which would crash it.
 
 #include "core.hpp"
 
@@ -20,7 +20,7 @@
 
 constexpr guint DOMAINS = 3;
 constexpr MrTime TICK = 20 * MR_MS;
-constexpr MrTime LENGTH = 14 * MR_SECOND;
+constexpr MrTime DURATION = 14 * MR_SECOND;
 
 struct Sender
 {
@@ -35,22 +35,22 @@
   return (guint) g_rand_int_range (random, 0, (gint32) below);
 }
 
-// Each daemon sends as much as its part allows, at every tick; returns the most calls that one
-// target gets in a second.
-struct Run
+// A fleet in which each daemon sends as many calls to one target as its share allows, at every
+// tick.  max_per_second is the highest number of calls that the target got in any second.
+struct ColdRun
 {
   Fleet *fleet;
   std::vector<Sender> senders;
   std::deque<MrTime> arrived;
-  guint most = 0;
+  guint max_per_second = 0;
 
-  explicit Run (const FleetLayout &layout) : fleet (fleet_new (&layout)), senders (layout.count)
+  explicit ColdRun (const FleetLayout &layout) : fleet (fleet_new (&layout)), senders (layout.count)
   {
     fleet_start_all (fleet, 300 * MR_MS, FALSE);
   }
-  Run (const Run &) = delete;
-  Run &operator= (const Run &) = delete;
-  ~Run ()
+  ColdRun (const ColdRun &) = delete;
+  ColdRun &operator= (const ColdRun &) = delete;
+  ~ColdRun ()
   {
     for (auto &sender : senders)
       mr_cold_share_free (sender.share);
@@ -58,7 +58,7 @@
   }
 
   void
-  send (FleetNode &node, double bound)
+  send (FleetNode &node, double max_rate)
   {
     Sender &sender = senders[node.index];
     if (!node.membership)
@@ -74,8 +74,8 @@
     MrEntryPlan plan = mr_entry_plan (node.roster, node.self.name);
     for (guint i = 0; i < members->count; i++)
       mr_cold_share_on_member (sender.share, fleet->now, &members->members[i]);
-    double part = mr_cold_share_update (sender.share, fleet->now, node.roster, &plan);
-    guint permits = mr_cold_share_permits (part, bound);
+    double share = mr_cold_share_update (sender.share, fleet->now, node.roster, &plan);
+    guint permits = mr_cold_share_permits (share, max_rate);
     while (mr_cold_window_allows (&sender.window, fleet->now, permits))
       {
         mr_cold_window_add (&sender.window, fleet->now);
@@ -86,19 +86,19 @@
   }
 
   void
-  tick (double bound)
+  tick (double max_rate)
   {
     fleet_run (fleet, TICK);
     for (guint i = 0; i < fleet->layout.count; i++)
-      send (fleet->nodes[i], bound);
+      send (fleet->nodes[i], max_rate);
     while (!arrived.empty () && fleet->now - arrived.front () >= MR_SECOND)
       arrived.pop_front ();
-    most = MAX (most, (guint) arrived.size ());
+    max_per_second = MAX (max_per_second, (guint) arrived.size ());
   }
 };
 
 void
-disturb (Run &run, GRand *random)
+inject_fault (ColdRun &run, GRand *random)
 {
   Fleet *fleet = run.fleet;
   guint count = fleet->layout.count;
@@ -132,9 +132,9 @@
     }
 }
 
-// "" if a cold target never gets more than it bears.
+// Returns "" if the target never gets more calls per second than its limit.
 std::string
-overrun (guint32 seed)
+exceeds_rate (guint32 seed)
 {
   GRand *random = g_rand_new_with_seed (seed);
   FleetLayout layout = {};
@@ -142,25 +142,26 @@
   layout.domains = DOMAINS;
   layout.regions = 1;
   layout.seeds = 3;
-  double bound = 5 + 1.5 * pick (random, 60);
-  Run run (layout);
-  MrTime end = run.fleet->now + LENGTH;
-  MrTime next = run.fleet->now + 2 * MR_SECOND;
+  double max_rate = 5 + 1.5 * pick (random, 60);
+  ColdRun run (layout);
+  MrTime end = run.fleet->now + DURATION;
+  MrTime next_fault = run.fleet->now + 2 * MR_SECOND;
   while (run.fleet->now < end)
     {
-      run.tick (bound);
-      if (run.fleet->now < next)
+      run.tick (max_rate);
+      if (run.fleet->now < next_fault)
         continue;
-      disturb (run, random);
-      next = run.fleet->now + (MrTime) pick (random, 2500) * MR_MS;
+      inject_fault (run, random);
+      next_fault = run.fleet->now + (MrTime) pick (random, 2500) * MR_MS;
     }
   g_rand_free (random);
-  return run.most > bound ? "broken" : "";
+  return run.max_per_second > max_rate ? "exceeded" : "";
 }
 
-// In calm times what a target bears is used, but for the margin and what does not divide.
+// Without faults at least 12 of 35 calls per second are used; the safety margin and the rounding
+// of each daemon's permits to whole calls take the rest.
 bool
-used_when_calm ()
+uses_rate_without_faults ()
 {
   bool used = true;
   for (guint count : { 3U, 6U, 24U })
@@ -170,12 +171,12 @@
       layout.domains = DOMAINS;
       layout.regions = 1;
       layout.seeds = 3;
-      Run run (layout);
+      ColdRun run (layout);
       MrTime end = run.fleet->now + 10 * MR_SECOND;
       while (run.fleet->now < end)
         run.tick (35);
-      std::printf ("%u daemons, calm: %u of 35 calls a second\n", count, run.most);
-      used = used && run.most >= 12;
+      std::printf ("%u daemons, no faults: %u of 35 calls a second\n", count, run.max_per_second);
+      used = used && run.max_per_second >= 12;
     }
   return used;
 }
@@ -186,13 +187,13 @@
 main ()
 {
   mr_log_set_level ((MrLogLevel) 0);
-  bool ok = used_when_calm ();
-  ok = rc::check ("all daemons together keep within what a cold target bears",
+  bool ok = uses_rate_without_faults ();
+  ok = rc::check ("all daemons together stay within the rate limit of a cold target",
                   [] {
                     auto seed = *rc::gen::inRange<guint32> (0, 1U << 30);
-                    RC_ASSERT (overrun (seed) == "");
+                    RC_ASSERT (exceeds_rate (seed) == "");
                   }) &&
        ok;
-  ok = fails_without ("cold share", MR_GUARD_COLD_SHARE, 100, overrun) && ok;
+  ok = fails_without ("cold share", MR_GUARD_COLD_SHARE, 100, exceeds_rate) && ok;
   return ok ? 0 : 1;
 }
--- a/test/prop_relay.cpp
+++ b/test/prop_relay.cpp
@@ -1,8 +1,8 @@
-// Promises of the relay under generated troubles, on a virtual clock.
+// Property test of the relay's invariants under generated faults, on a virtual clock.
 //
-// What callers and targets would see: an order that runs twice, "not run" said
-// of a request that ran, targets asked more often than the fleet may, a target
-// that leaves and still gets work, answers that count their shards wrongly.
+// Guards against non-idempotent requests that run twice, requests reported as not run that have
+// run, more hedges and retries than the fleet's budget allows, calls to targets that leave, and
+// responses with wrong shard counts.
 
 #include "core.hpp"
 
@@ -23,28 +23,28 @@
 }
 
 SimFault
-trouble (GRand *random, guint targets)
+random_fault (GRand *random, guint targets)
 {
   static const SimFaultType kinds[] = {
     SIM_FAULT_REMOVED, SIM_FAULT_UNRESPONSIVE, SIM_FAULT_REFUSES_CONNECTIONS, SIM_FAULT_SLOW,
     SIM_FAULT_ERRORS,  SIM_FAULT_SHEDS,        SIM_FAULT_LOSES_RESPONSES,     SIM_FAULT_LEAVING
   };
-  SimFault event = {};
-  event.type = kinds[pick (random, G_N_ELEMENTS (kinds))];
-  event.first = pick (random, targets);
-  event.last = event.first + pick (random, targets - event.first);
-  event.stride = 1 + pick (random, 3);
-  event.from_ms = 1000 + pick (random, 2000);
-  event.to_ms = event.type == SIM_FAULT_REMOVED || event.type == SIM_FAULT_LEAVING
+  SimFault fault = {};
+  fault.type = kinds[pick (random, G_N_ELEMENTS (kinds))];
+  fault.first = pick (random, targets);
+  fault.last = fault.first + pick (random, targets - fault.first);
+  fault.stride = 1 + pick (random, 3);
+  fault.from_ms = 1000 + pick (random, 2000);
+  fault.to_ms = fault.type == SIM_FAULT_REMOVED || fault.type == SIM_FAULT_LEAVING
                     ? 0
-                    : event.from_ms + pick (random, 2500);
-  event.factor = event.type == SIM_FAULT_SLOW ? 2 + pick (random, 20) : g_rand_double (random);
-  return event;
+                    : fault.from_ms + pick (random, 2500);
+  fault.factor = fault.type == SIM_FAULT_SLOW ? 2 + pick (random, 20) : g_rand_double (random);
+  return fault;
 }
 
-// A small fleet with one to four troubles that overlap.
+// A small fleet with one to four faults, which may overlap.
 SimPlan
-schedule (guint32 seed)
+random_plan (guint32 seed)
 {
   GRand *random = g_rand_new_with_seed (seed);
   SimPlan p = {};
@@ -63,19 +63,19 @@
   p.routes[0] = SimRoute{ 25, 10, 100, 700, 0.6, 1, false };
   p.routes[1] = SimRoute{ 15, 30, 300, 1500, 0, 0, true };
   p.routes[2] = SimRoute{ 10, 30, 300, 1500, 0, 2, false };
-  guint troubles = 1 + pick (random, 4);
-  for (guint i = 0; i < troubles; i++)
-    p.faults[i] = trouble (random, p.shards * p.replicas);
+  guint faults = 1 + pick (random, 4);
+  for (guint i = 0; i < faults; i++)
+    p.faults[i] = random_fault (random, p.shards * p.replicas);
   g_rand_free (random);
   return p;
 }
 
-// Half of the targets break off half of their calls, for long enough to show
-// in a window, with more asking than the budget repairs.
+// All three targets of the only shard lose the responses of 70 % of their calls, long enough to
+// fill a budget window and with more requests than the budget has retries for.
 SimPlan
-outage (guint32 seed)
+outage_plan (guint32 seed)
 {
-  SimPlan p = schedule (seed);
+  SimPlan p = random_plan (seed);
   p.daemons = 3;
   p.shards = 1;
   p.replicas = 3;
@@ -87,31 +87,31 @@
   p.routes[0] = SimRoute{ 0, 0, 0, 0, 0, 0, false };
   p.routes[0] = SimRoute{ 120, 5, 100, 700, 0.6, 1, false };
   p.routes[1].requests_per_second = 0;
-  for (auto &event : p.faults)
-    event = SimFault{};
+  for (auto &fault : p.faults)
+    fault = SimFault{};
   p.faults[0] = SimFault{ SIM_FAULT_LOSES_RESPONSES, 0, 2, 1, 1000, 0, 0.7 };
   return p;
 }
 
-// A target is listed as leaving while it could still work, and stays.
+// A target is listed as leaving, but goes on serving.
 SimPlan
-leaving (guint32 seed)
+leaving_plan (guint32 seed)
 {
-  SimPlan p = schedule (seed);
+  SimPlan p = random_plan (seed);
   p.duration_s = 5;
   p.replicas = 3;
-  for (auto &event : p.faults)
-    event = SimFault{};
+  for (auto &fault : p.faults)
+    fault = SimFault{};
   p.faults[0] = SimFault{ SIM_FAULT_LEAVING, 0, 0, 1, 1100, 0, 0 };
   return p;
 }
 
-// A content that ends each target that begins it, again and again, beside the troubles of
-// a schedule and targets that end for reasons of their own.
+// A poison request is sent repeatedly, while targets have the faults of random_plan () and some
+// crash for other reasons.
 SimPlan
-crashing (guint32 seed)
+poison_plan (guint32 seed)
 {
-  SimPlan p = schedule (seed);
+  SimPlan p = random_plan (seed);
   GRand *random = g_rand_new_with_seed (seed + 1);
   p.duration_s = 10;
   p.replicas = 2 + pick (random, 2);
@@ -131,12 +131,12 @@
   return p;
 }
 
-// A failure domain is evacuated beside the troubles of a schedule, perhaps another as well,
-// and is used again; calls wait for their connections.
+// Failure domains are evacuated and put back into use, while targets have the faults of
+// random_plan (); calls may wait for their connection.
 SimPlan
-evacuating (guint32 seed)
+evacuation_plan (guint32 seed)
 {
-  SimPlan p = schedule (seed);
+  SimPlan p = random_plan (seed);
   GRand *random = g_rand_new_with_seed (seed + 2);
   p.duration_s = 5;
   p.replicas = 1 + pick (random, 4);
@@ -163,13 +163,13 @@
 }
 
 guint
-late_over_bound (const SimResult &r)
+excess_late_poison_calls (const SimResult &r)
 {
   return r.poison_calls_late > 3 ? r.poison_calls_late : 0;
 }
 
 guint
-broken_rules (const SimResult &r)
+violations (const SimResult &r)
 {
   return r.max_budget_excess + r.ran_twice + r.false_not_run + r.excess_attempts +
          r.calls_after_leaving + r.calls_after_evacuation + r.cold_excess + r.deadlines_extended +
@@ -184,10 +184,10 @@
   return r;
 }
 
-// Whether a schedule of @make breaks the promise that @count counts, in words.
+// Returns a property for fails_without (): "broken" if @count finds violations in a run of @make.
 template <typename Count>
 auto
-breaks (SimPlan (*make) (guint32), Count count)
+violates (SimPlan (*make) (guint32), Count count)
 {
   return [make, count] (guint32 seed) -> std::string {
     return count (run (make (seed))) > 0 ? "broken" : "";
@@ -200,35 +200,37 @@
 main ()
 {
   mr_log_set_level ((MrLogLevel) 0);
-  guint64 asked = 0;
-  guint64 extra = 0;
-  // A target refuses, is asked again and can't be reached: forgotten as never sent
-  // to, it let the request go to one target more than allowed.
+  guint64 requests = 0;
+  guint64 extra_calls = 0;
+  // Regression: a target refused a call, was sent it again and could not be reached.  It was then
+  // treated as never tried, and the call went to one target more than allowed.
   for (guint32 i = 0; i < 10; i++)
-    if (broken_rules (run (schedule (402038341 + i))) > 0)
+    if (violations (run (random_plan (402038341 + i))) > 0)
       {
-        std::printf ("schedule %u is broken\n", 402038341 + i);
+        std::printf ("random_plan (%u) violates an invariant\n", 402038341 + i);
         return 1;
       }
-  // An order was called back when its content fell under suspicion, and sent again though it
-  // had run; three daemons that lost one target each, at one time, counted one together; a
-  // trial that waited for the ends of its own content came when all targets had ended; a target
-  // that refused was asked twice by each trial.
+  // Regressions: an order was withdrawn when its content became suspect, and was sent again though
+  // it had run; simultaneous crashes of one target each, seen by three daemons, were counted as
+  // one; a trial waited for the end of the calls with the same content and started only after all
+  // targets had crashed; each trial was sent twice to a target that refused it.
   for (guint32 seed : { 145671701U, 373U, 578U, 974U, 1144U, 1268U, 1856U, 2759U, 166492105U })
-    if (broken_rules (run (crashing (seed))) + late_over_bound (run (crashing (seed))) > 0)
+    if (violations (run (poison_plan (seed))) +
+            excess_late_poison_calls (run (poison_plan (seed))) >
+        0)
       {
-        std::printf ("crashing %u is broken\n", seed);
+        std::printf ("poison_plan (%u) violates an invariant\n", seed);
         return 1;
       }
-  bool ok = rc::check ("the relay's promises hold under generated troubles", [&] {
-    // Ten schedules a case: 10,000 a run at RapidCheck's 1,000 cases.
+  bool ok = rc::check ("the relay's invariants hold under generated faults", [&] {
+    // Ten plans per case: 10,000 in a run of RapidCheck's 1,000 cases.
     auto base = *rc::gen::inRange<guint32> (0, 1U << 30);
     for (guint32 i = 0; i < 10; i++)
       {
-        SimResult r = run (schedule (base + i));
+        SimResult r = run (random_plan (base + i));
         for (const auto &kind : r.routes)
-          asked += kind.requests;
-        extra += r.extra_calls;
+          requests += kind.requests;
+        extra_calls += r.extra_calls;
         RC_ASSERT (r.ran_twice == 0U);
         RC_ASSERT (r.false_not_run == 0U);
         RC_ASSERT (r.max_budget_excess == 0U);
@@ -241,47 +243,50 @@
         RC_ASSERT (r.wrong_shard_counts == 0U);
       }
   });
-  ok = rc::check ("a content that ends its targets reaches three at most once that is known",
+  ok = rc::check ("a content known to crash targets reaches at most three more",
                   [&] {
                     auto seed = *rc::gen::inRange<guint32> (0, 1U << 30);
-                    SimResult r = run (crashing (seed));
-                    RC_ASSERT (late_over_bound (r) == 0U);
-                    RC_ASSERT (broken_rules (r) == 0U);
+                    SimResult r = run (poison_plan (seed));
+                    RC_ASSERT (excess_late_poison_calls (r) == 0U);
+                    RC_ASSERT (violations (r) == 0U);
                   }) &&
        ok;
   ok = rc::check ("no call reaches an evacuated failure domain",
                   [&] {
                     auto seed = *rc::gen::inRange<guint32> (0, 1U << 30);
-                    RC_ASSERT (broken_rules (run (evacuating (seed))) == 0U);
+                    RC_ASSERT (violations (run (evacuation_plan (seed))) == 0U);
                   }) &&
        ok;
   for (guint32 seed = 1; seed <= 50; seed++)
     {
-      guint count = broken_rules (run (outage (seed))) + broken_rules (run (leaving (seed)));
+      guint count = violations (run (outage_plan (seed))) + violations (run (leaving_plan (seed)));
       if (count > 0)
-        std::printf ("outage or leaving %u: %u broken\n", seed, count);
+        std::printf ("outage_plan or leaving_plan, seed %u: %u violations\n", seed, count);
       ok = ok && count == 0;
     }
-  std::printf ("%" G_GUINT64_FORMAT " requests, %" G_GUINT64_FORMAT " second sends\n", asked,
-               extra);
-  ok = fails_without ("not run", MR_GUARD_NOT_RUN, 400,
-                      breaks (schedule, [] (const SimResult &r) { return r.false_not_run; })) &&
-       ok;
+  std::printf ("%" G_GUINT64_FORMAT " requests, %" G_GUINT64_FORMAT " hedges and retries\n",
+               requests, extra_calls);
+  ok =
+      fails_without ("not run", MR_GUARD_NOT_RUN, 400,
+                     violates (random_plan, [] (const SimResult &r) { return r.false_not_run; })) &&
+      ok;
   ok = fails_without ("not run, orders", MR_GUARD_NOT_RUN, 400,
-                      breaks (schedule, [] (const SimResult &r) { return r.ran_twice; })) &&
+                      violates (random_plan, [] (const SimResult &r) { return r.ran_twice; })) &&
        ok;
-  ok = fails_without ("retry budget", MR_GUARD_RETRY_BUDGET, 400,
-                      breaks (outage, [] (const SimResult &r) { return r.max_budget_excess; })) &&
+  ok = fails_without (
+           "retry budget", MR_GUARD_RETRY_BUDGET, 400,
+           violates (outage_plan, [] (const SimResult &r) { return r.max_budget_excess; })) &&
        ok;
-  ok = fails_without ("quarantine", MR_GUARD_QUARANTINE, 50, breaks (crashing, late_over_bound)) &&
+  ok = fails_without ("quarantine", MR_GUARD_QUARANTINE, 50,
+                      violates (poison_plan, excess_late_poison_calls)) &&
        ok;
-  ok =
-      fails_without ("leaving", MR_GUARD_LEAVING, 400,
-                     breaks (leaving, [] (const SimResult &r) { return r.calls_after_leaving; })) &&
-      ok;
   ok = fails_without (
-           "evacuation", MR_GUARD_EVACUATION, 400,
-           breaks (evacuating, [] (const SimResult &r) { return r.calls_after_evacuation; })) &&
+           "leaving", MR_GUARD_LEAVING, 400,
+           violates (leaving_plan, [] (const SimResult &r) { return r.calls_after_leaving; })) &&
+       ok;
+  ok = fails_without ("evacuation", MR_GUARD_EVACUATION, 400,
+                      violates (evacuation_plan,
+                                [] (const SimResult &r) { return r.calls_after_evacuation; })) &&
        ok;
   return ok ? 0 : 1;
 }
--- a/test/tcp_proxy.c
+++ b/test/tcp_proxy.c
@@ -1,7 +1,7 @@
-/* TCP relay for failure tests: relay LISTEN_PORT TARGET_PORT, on loopback.
+/* TCP proxy on the loopback interface for failure tests: tcp_proxy LISTEN_PORT TARGET_PORT
  *
- * SIGUSR1: connections that are open now stay open but carry nothing any more,
- * as when something between two ends has lost track of them; new ones work. */
+ * SIGUSR1: connections that exist at that time stay open but drop all further data, as if a
+ * middlebox had lost their state.  New connections work. */
 
 #include <arpa/inet.h>
 #include <poll.h>
@@ -13,23 +13,23 @@
 
 enum
 {
-  PAIRS_MAX = 512,
-  BYTES = 65536,
+  CONNECTIONS_MAX = 512,
+  BUFFER_SIZE = 65536,
 };
 
 typedef struct
 {
-  int ends[2];
-  bool silent;
-} Pair;
+  int fds[2]; /* client, server */
+  bool dropping;
+} Connection;
 
-static volatile sig_atomic_t silence;
+static volatile sig_atomic_t drop_requested;
 
 static void
 S_on_signal (int number)
 {
   (void) number;
-  silence = 1;
+  drop_requested = 1;
 }
 
 static struct sockaddr_in
@@ -44,86 +44,87 @@
 S_listen (int port)
 {
   int fd = socket (AF_INET, SOCK_STREAM, 0);
-  int yes = 1;
+  int enable = 1;
   struct sockaddr_in address = S_address (port);
-  setsockopt (fd, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
+  setsockopt (fd, SOL_SOCKET, SO_REUSEADDR, &enable, sizeof enable);
   if (bind (fd, (struct sockaddr *) &address, sizeof address) != 0 || listen (fd, 64) != 0)
     return -1;
   return fd;
 }
 
 static void
-S_accept (int listener, int port, Pair *pairs, int *count)
+S_accept (int listener, int port, Connection *connections, int *count)
 {
-  int in = accept (listener, NULL, NULL);
-  int out = socket (AF_INET, SOCK_STREAM, 0);
+  int client = accept (listener, NULL, NULL);
+  int server = socket (AF_INET, SOCK_STREAM, 0);
   struct sockaddr_in address = S_address (port);
-  if (in < 0 || *count == PAIRS_MAX ||
-      connect (out, (struct sockaddr *) &address, sizeof address) != 0)
+  if (client < 0 || *count == CONNECTIONS_MAX ||
+      connect (server, (struct sockaddr *) &address, sizeof address) != 0)
     {
-      close (in);
-      close (out);
+      close (client);
+      close (server);
       return;
     }
-  pairs[(*count)++] = (Pair){ .ends = { in, out } };
+  connections[(*count)++] = (Connection){ .fds = { client, server } };
 }
 
-/* Passes on what can be read at one end; false if the pair is closed. */
+/* Forwards what can be read at one side; returns false if the connection was closed. */
 static bool
-S_pass (Pair *pair, int end)
+S_forward (Connection *connection, int side)
 {
-  char bytes[BYTES];
-  ssize_t len = read (pair->ends[end], bytes, sizeof bytes);
-  if (len > 0 && pair->silent)
+  char bytes[BUFFER_SIZE];
+  ssize_t len = read (connection->fds[side], bytes, sizeof bytes);
+  if (len > 0 && connection->dropping)
     return true;
-  if (len > 0 && write (pair->ends[1 - end], bytes, (size_t) len) == len)
+  if (len > 0 && write (connection->fds[1 - side], bytes, (size_t) len) == len)
     return true;
-  close (pair->ends[0]);
-  close (pair->ends[1]);
+  close (connection->fds[0]);
+  close (connection->fds[1]);
   return false;
 }
 
 static void
-S_round (int listener, int port, Pair *pairs, int *count)
+S_poll (int listener, int port, Connection *connections, int *count)
 {
-  struct pollfd fds[1 + 2 * PAIRS_MAX];
-  int open = *count;
-  fds[0] = (struct pollfd){ .fd = listener, .events = POLLIN };
-  for (int i = 0; i < open; i++)
-    for (int end = 0; end < 2; end++)
-      fds[1 + 2 * i + end] = (struct pollfd){ .fd = pairs[i].ends[end], .events = POLLIN };
-  if (poll (fds, (nfds_t) (1 + 2 * open), 100) <= 0)
+  struct pollfd poll_fds[1 + 2 * CONNECTIONS_MAX];
+  int open_count = *count;
+  poll_fds[0] = (struct pollfd){ .fd = listener, .events = POLLIN };
+  for (int i = 0; i < open_count; i++)
+    for (int side = 0; side < 2; side++)
+      poll_fds[1 + 2 * i + side] =
+          (struct pollfd){ .fd = connections[i].fds[side], .events = POLLIN };
+  if (poll (poll_fds, (nfds_t) (1 + 2 * open_count), 100) <= 0)
     return;
-  for (int i = open - 1; i >= 0; i--)
-    for (int end = 0; end < 2; end++)
-      if (fds[1 + 2 * i + end].revents && !S_pass (&pairs[i], end))
+  for (int i = open_count - 1; i >= 0; i--)
+    for (int side = 0; side < 2; side++)
+      if (poll_fds[1 + 2 * i + side].revents && !S_forward (&connections[i], side))
         {
-          pairs[i] = pairs[--*count];
+          connections[i] = connections[--*count];
           break;
         }
-  if (fds[0].revents & POLLIN)
-    S_accept (listener, port, pairs, count);
+  if (poll_fds[0].revents & POLLIN)
+    S_accept (listener, port, connections, count);
 }
 
 int
 main (int argc, char **argv)
 {
-  static Pair pairs[PAIRS_MAX];
+  static Connection connections[CONNECTIONS_MAX];
   int count = 0;
   int listener = argc == 3 ? S_listen (atoi (argv[1])) : -1;
   if (listener < 0)
     {
-      fprintf (stderr, "relay: expected LISTEN_PORT TARGET_PORT, and a free port\n");
+      fprintf (stderr, "usage: tcp_proxy LISTEN_PORT TARGET_PORT; LISTEN_PORT must be free\n");
       return EXIT_FAILURE;
     }
   signal (SIGPIPE, SIG_IGN);
   signal (SIGUSR1, S_on_signal);
   for (;;)
     {
-      if (silence)
+      if (drop_requested)
         for (int i = 0; i < count; i++)
-          pairs[i].silent = true;
-      silence = 0;
-      S_round (listener, atoi (argv[2]), pairs, &count);
+          connections[i].dropping = true;
+      drop_requested = 0;
+      S_poll (listener, atoi (argv[2]), connections, &count);
     }
 }
