--- a/test/test_fleet_shares.c
+++ b/test/test_fleet_shares.c
@@ -1,5 +1,5 @@
-/* What each daemon may use of what the fleet shares: second sends, connections,
- * callers, calls to the platform. */
+/* How daemons divide what the fleet shares: the resend budget, connections, callers, and the calls
+ * to the platform.  Also tests merging of records and the timer heap. */
 
 #include "entry_plan.h"
 #include "merge_records.h"
@@ -18,7 +18,7 @@
   WINDOW = 10, /* seconds */
 };
 
-static const MrResendBudgetConfig terms = {
+static const MrResendBudgetConfig config = {
   .window = WINDOW * MR_SECOND,
   .ratio = 0.2,
   .allowance = 60,
@@ -27,11 +27,11 @@
   .started_at = MR_SECOND,
 };
 
-/* Callers see nothing of it, targets do: an outage turns every call into a
- * second send.  Six daemons spend as fast as they may; in no window may the sum
- * go over the ratio of the requests and the allowance. */
+/* Guards against an outage that turns every call into a hedge or retry, which overloads targets.
+ * Six daemons spend as fast as their budget permits.  In no window may their sum exceed the ratio
+ * of the requests plus the allowance. */
 static void
-test_window (void **state)
+test_window_budget (void **state)
 {
   enum
   {
@@ -46,71 +46,71 @@
     for (guint i = 0; i < DAEMONS; i++)
       {
         MrTime now = MR_SECOND + step * 10 * MR_MS;
-        if ((step / 500 + i) % 3 != 0) /* callers come and go */
+        if ((step / 500 + i) % 3 != 0) /* daemons without requests some of the time */
           {
-            mr_resend_budget_add_request (&budgets[i], &terms, now);
+            mr_resend_budget_add_request (&budgets[i], &config, now);
             requests[step]++;
           }
-        while (mr_resend_budget_try_spend (&budgets[i], &terms, now, 1))
+        while (mr_resend_budget_try_spend (&budgets[i], &config, now, 1))
           spent[step]++;
       }
   const guint steps = WINDOW * 100;
-  guint most = 0;
+  guint max_resends = 0;
   for (guint end = steps; end <= STEPS; end++)
     {
-      guint extra = 0;
-      guint asked = 0;
+      guint resends = 0;
+      guint total_requests = 0;
       for (guint step = end - steps; step < end; step++)
         {
-          extra += spent[step];
-          asked += requests[step];
+          resends += spent[step];
+          total_requests += requests[step];
         }
-      if (extra > terms.ratio * asked + terms.allowance)
-        fail_msg ("window that ends at step %u: %u second sends for %u requests", end, extra,
-                  asked);
-      most = MAX (most, extra);
+      if (resends > config.ratio * total_requests + config.allowance)
+        fail_msg ("window that ends at step %u: %u hedges and retries for %u requests", end,
+                  resends, total_requests);
+      max_resends = MAX (max_resends, resends);
     }
-  assert_true (most > 400); /* of 800 and the allowance: it is a bound, not a ban */
+  assert_true (max_resends > 400); /* of 800 and the allowance: the budget can be used */
 }
 
-/* A process that is killed every second and starts anew has no memory of what
- * it spent; its share of the allowance grows over a window. */
+/* A process that restarts every second does not know what it spent before.  Its share of the
+ * allowance therefore accrues over a window. */
 static void
-test_restarts (void **state)
+test_budget_of_restarting_process (void **state)
 {
   static const double shares[] = { 1.0 / 6, 0.5, 1 };
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (shares); i++)
     {
-      guint extra = 0;
-      for (guint life = 0; life < WINDOW; life++)
+      guint resends = 0;
+      for (guint restart = 0; restart < WINDOW; restart++)
         {
           MrResendBudget budget = { 0 };
-          MrResendBudgetConfig reborn = terms;
-          reborn.share = shares[i];
-          reborn.started_at = (life + 1) * MR_SECOND;
+          MrResendBudgetConfig restarted = config;
+          restarted.share = shares[i];
+          restarted.started_at = (restart + 1) * MR_SECOND;
           for (guint step = 0; step < 100; step++)
-            while (mr_resend_budget_try_spend (&budget, &reborn,
-                                               reborn.started_at + step * 10 * MR_MS, 1))
-              extra++;
+            while (mr_resend_budget_try_spend (&budget, &restarted,
+                                               restarted.started_at + step * 10 * MR_MS, 1))
+              resends++;
         }
-      assert_true (extra <= terms.allowance * shares[i]);
+      assert_true (resends <= config.allowance * shares[i]);
     }
 }
 
-/* A relay that had just started left a part out of its answer, which said so: the first
- * target refused, and there was no second send yet, since the share grows from nothing.
- * What a process may spend at once keeps a process that starts each second within its share:
- * a tenth of that; one send at least, for failures and not for slowness; and none where the
- * share is so small that a few starts would go over it. */
+/* Guards against partial responses right after the start of a relay: the first target of a shard
+ * refused the call, and no retry was possible because the share of the allowance grows from zero.
+ * A new process may spend a tenth of its share, so that one that restarts every second stays within
+ * it, and at least one send, for retries and not for hedges.  It may spend nothing if the share is
+ * so small that a few restarts would exceed it. */
 static void
-test_first_send (void **state)
+test_startup_allowance (void **state)
 {
   static const struct
   {
     double share;
-    double use; /* of what is allowed, as hedges may */
-    guint sends;
+    double fraction; /* of the budget; hedges may use less than 1 */
+    guint allowed;
   } cases[] = {
     { 1.0 / 6, 1, 1 }, { 1.0 / 6, 0.75, 0 }, { 1.0 / 60, 1, 0 }, { 1.0, 1, 6 }, { 1.0, 0.75, 4 },
   };
@@ -118,13 +118,13 @@
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       MrResendBudget budget = { 0 };
-      MrResendBudgetConfig young = terms;
-      young.share = cases[i].share;
-      guint sends = 0;
-      while (
-          mr_resend_budget_try_spend (&budget, &young, young.started_at + 30 * MR_MS, cases[i].use))
-        sends++;
-      assert_int_equal (sends, cases[i].sends);
+      MrResendBudgetConfig new_config = config;
+      new_config.share = cases[i].share;
+      guint allowed = 0;
+      while (mr_resend_budget_try_spend (&budget, &new_config, new_config.started_at + 30 * MR_MS,
+                                         cases[i].fraction))
+        allowed++;
+      assert_int_equal (allowed, cases[i].allowed);
     }
 }
 
@@ -152,32 +152,36 @@
   const char *name;
   guint members;
   guint domains;
-  guint32 load; /* of each */
-  guint dead;   /* the first ones */
+  guint32 load; /* of each member */
+  guint dead;   /* the first so many */
   guint entries;
-  guint large; /* the first ones, of four times the processor */
-} PlanCase;
+  guint large; /* the first so many have four times the CPU capacity */
+} EntryCase;
 
 static void
 test_entries (void **state)
 {
-  static const PlanCase cases[] = {
-    { .name = "a small site: all", .members = 6, .domains = 3, .entries = 6 },
-    { .name = "one more waits", .members = 7, .domains = 3, .entries = 6 },
-    { .name = "a large site: few", .members = 71, .domains = 3, .entries = 6 },
-    { .name = "a large site with load", .members = 71, .domains = 3, .load = 16, .entries = 23 },
+  static const EntryCase cases[] = {
+    { .name = "small site: all members are entries", .members = 6, .domains = 3, .entries = 6 },
+    { .name = "one member more than entries", .members = 7, .domains = 3, .entries = 6 },
+    { .name = "large site: few entries", .members = 71, .domains = 3, .entries = 6 },
+    { .name = "large site under load", .members = 71, .domains = 3, .load = 16, .entries = 23 },
     { .name = "two of six dead", .members = 6, .domains = 3, .dead = 2, .entries = 4 },
     { .name = "all dead but one", .members = 6, .domains = 3, .dead = 5, .entries = 1 },
-    /* Counters wait: half of the callers are sent to VMs on which a search takes
-     * 25 ms of processor, though three large ones could take all. */
-    { .name = "three large of thirty", .members = 30, .domains = 3, .entries = 3, .large = 3 },
-    { .name = "three large with load",
+    /* Guards against entries on small VMs, on which a search takes 25 ms of CPU time, while three
+     * large VMs could handle all callers: half of the callers were sent there. */
+    { .name = "three large members of thirty",
+      .members = 30,
+      .domains = 3,
+      .entries = 3,
+      .large = 3 },
+    { .name = "three large members under load",
       .members = 30,
       .domains = 3,
       .load = 21,
       .entries = 4,
       .large = 3 },
-    { .name = "one of the large dead",
+    { .name = "one of the large members dead",
       .members = 30,
       .domains = 3,
       .dead = 1,
@@ -187,7 +191,7 @@
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      const PlanCase *c = &cases[i];
+      const EntryCase *c = &cases[i];
       g_autofree MrMember *members = g_new0 (MrMember, c->members);
       for (guint m = 0; m < c->members; m++)
         {
@@ -213,8 +217,8 @@
     }
 }
 
-/* The loss of a failure domain must not take most of the entries, and large VMs
- * come first. */
+/* Entries are spread over the failure domains, so that the loss of a domain does not take most of
+ * them, and large VMs are preferred. */
 static void
 test_entries_spread (void **state)
 {
@@ -242,27 +246,27 @@
   mr_roster_free (roster);
 }
 
-/* What callers see: after a loss of all VMs they are sent to small ones, where a wide
- * search takes too long, or to some that can't serve yet.  Each VM starts as one that
- * can't; a small one that has heard of nobody must not name itself. */
+/* Guards against callers directed to small VMs, where a wide search takes too long, or to VMs that
+ * cannot serve yet, after a loss of all VMs.  Each VM starts as not ready; a small one that does
+ * not know any other member must not make itself an entry. */
 static void
-test_entries_at_a_start (void **state)
+test_entries_during_startup (void **state)
 {
   static const struct
   {
     const char *name;
     guint ready;    /* the first so many */
-    guint starting; /* and so many after them */
+    guint starting; /* the next so many */
     guint32 capacity;
-    guint named;
-    gboolean ready_only;
+    guint entries;
+    gboolean only_ready;
   } cases[] = {
-    { "a small one, alone", 0, 1, 120, 0, FALSE },
-    { "a small one that is ready, alone", 1, 0, 120, 1, TRUE },
-    { "a larger one, alone", 0, 1, 250, 1, FALSE },
-    { "two small ones that start", 0, 2, 120, 2, FALSE },
-    { "one of many is ready", 1, 9, 250, 1, TRUE },
-    { "all of many start", 0, 10, 250, 6, FALSE },
+    { "one small member, starting", 0, 1, 120, 0, FALSE },
+    { "one small member, ready", 1, 0, 120, 1, TRUE },
+    { "one larger member, starting", 0, 1, 250, 1, FALSE },
+    { "two small members, starting", 0, 2, 120, 2, FALSE },
+    { "one of ten ready", 1, 9, 250, 1, TRUE },
+    { "ten members, starting", 0, 10, 250, 6, FALSE },
   };
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -276,17 +280,17 @@
         }
       MrRoster *roster = S_roster (members, count);
       MrEntryPlan plan = mr_entry_plan (roster, members[0].name);
-      if (plan.entries->len != cases[i].named)
-        fail_msg ("%s: %u named", cases[i].name, plan.entries->len);
+      if (plan.entries->len != cases[i].entries)
+        fail_msg ("%s: %u entries", cases[i].name, plan.entries->len);
       for (guint e = 0; e < plan.entries->len; e++)
-        if (cases[i].ready_only && ((MrMember *) g_ptr_array_index (plan.entries, e))->busy)
-          fail_msg ("%s: one that starts is named", cases[i].name);
+        if (cases[i].only_ready && ((MrMember *) g_ptr_array_index (plan.entries, e))->busy)
+          fail_msg ("%s: a member that is starting is an entry", cases[i].name);
       mr_entry_plan_clear (&plan);
       mr_roster_free (roster);
     }
 }
 
-/* @count of a quarter core each, in three failure domains. */
+/* Fills in @count members with a quarter of a core each, in three failure domains. */
 static void
 S_equal_members (MrMember *members, guint count)
 {
@@ -294,11 +298,11 @@
     members[m] = S_member (m, 3, 250);
 }
 
-/* The operators' change is not in force for seconds: all who watch are cut off
- * from the store at once, and nobody else asks it.  Each who loses it says so,
- * and the next in rank watches. */
+/* Guards against changes by operators that take effect seconds late because all watchers have lost
+ * the store at once and no other member polls it.  A member that loses the store announces it, and
+ * the next in rank becomes a watcher. */
 static void
-test_relay_watchers (void **state)
+test_watchers (void **state)
 {
   enum
   {
@@ -318,7 +322,7 @@
       assert_true (healthy <= MR_RELAY_WATCHERS_MIN + 1); /* rounded up in each domain */
       if (cut == 0)
         assert_int_equal (healthy, MR_RELAY_WATCHERS_MIN);
-      /* The next to be cut off is one that watches now. */
+      /* The next member to lose the store is a current watcher. */
       for (guint m = 0; m < MEMBERS; m++)
         if (mr_watch_is_relay_watcher (roster, members[m].name) && !members[m].platform_unreachable)
           {
@@ -329,18 +333,18 @@
     }
 }
 
-/* The store answers nobody for 6 s, and pays for 3,800 calls of 295 relays: each that finds
- * out says that it is cut off, and the duty to watch went on to the next, until all asked.
- * A few in each failure domain go on asking, also when all are cut off; while some are, one
- * of those that reach it is the first that watches. */
+/* Guards against a store outage that makes every member poll the store: in one of 6 s, 295 relays
+ * made 3,800 calls, because each that lost the store announced it and the next in rank took over.
+ * Only a few members per failure domain poll, even when all have lost the store.  While some still
+ * reach it, exactly one of these is the first watcher. */
 static void
-test_outage_for_all (void **state)
+test_watchers_in_store_outage (void **state)
 {
   enum
   {
     MEMBERS = 300,
     DOMAINS = 5,
-    ASKING_MOST = 3 * DOMAINS,
+    WATCHERS_MAX = 3 * DOMAINS,
   };
   (void) state;
   MrMember members[MEMBERS];
@@ -349,23 +353,23 @@
   for (guint cut = 0; cut <= MEMBERS; cut++)
     {
       MrRoster *roster = S_roster (members, MEMBERS);
-      guint asking = 0;
-      guint firsts = 0;
+      guint watchers = 0;
+      guint first_watchers = 0;
       guint next = MEMBERS;
       for (guint m = 0; m < MEMBERS; m++)
         {
           gboolean watches = mr_watch_is_relay_watcher (roster, members[m].name);
-          asking += watches;
-          firsts += watches && !members[m].platform_unreachable &&
-                    mr_watch_is_first_watcher (roster, members[m].name);
+          watchers += watches;
+          first_watchers += watches && !members[m].platform_unreachable &&
+                            mr_watch_is_first_watcher (roster, members[m].name);
           if (watches && !members[m].platform_unreachable)
             next = m;
         }
-      assert_true (asking <= ASKING_MOST);
+      assert_true (watchers <= WATCHERS_MAX);
       mr_roster_free (roster);
       if (next == MEMBERS)
-        break; /* nobody who could is left to ask */
-      assert_int_equal (firsts, 1);
+        break; /* no member that could reach the store is left */
+      assert_int_equal (first_watchers, 1);
       members[next].platform_unreachable = TRUE;
     }
 }
@@ -379,15 +383,15 @@
     MR_TEXT ("c000000000000000b000000000000000short"),
     { 0 },
   };
-  g_autoptr (GString) most = mr_merge_records (parts, 3, 3);
-  assert_string_equal (most->str, "c000000000000000b000000000000000b000000000000000");
+  g_autoptr (GString) top_records = mr_merge_records (parts, 3, 3);
+  assert_string_equal (top_records->str, "c000000000000000b000000000000000b000000000000000");
   g_autoptr (GString) all = mr_merge_records (parts, 3, 50);
   assert_int_equal (all->len, 4 * MR_RECORD_BYTES);
   g_autoptr (GString) none = mr_merge_records (parts, 3, 0);
   assert_int_equal (none->len, 0);
 }
 
-/* A heap against sorting: 2,000 timers set, moved and removed at random. */
+/* 2,000 random operations on the timer heap; the timers must then expire in order. */
 static void
 test_timers (void **state)
 {
@@ -421,9 +425,11 @@
   mr_timers_free (timers);
 }
 
-/* The operators' change is not in force for half a minute: all watches were taken by a
- * store that answered nobody then.  Just one of those that reach the store asks anew
- * every few seconds, and another as soon as that one says that it does not reach it. */
+/* Guards against changes by operators that take effect half a minute late: all watch calls
+ * had been accepted by a store that did not answer at the time.  Exactly one of the members that
+ * reach the store polls it every few seconds, and another takes over as soon as that one announces
+ * that it has lost it.
+ */
 static void
 test_first_watcher (void **state)
 {
@@ -437,23 +443,23 @@
   for (guint cut = 0; cut < MEMBERS; cut++)
     {
       MrRoster *roster = S_roster (members, MEMBERS);
-      guint firsts = 0;
+      guint first_watchers = 0;
       guint first = 0;
       for (guint m = 0; m < MEMBERS; m++)
         if (!members[m].platform_unreachable && mr_watch_is_first_watcher (roster, members[m].name))
           {
-            firsts++;
+            first_watchers++;
             first = m;
           }
-      assert_int_equal (firsts, 1);
+      assert_int_equal (first_watchers, 1);
       assert_true (mr_watch_is_relay_watcher (roster, members[first].name));
       members[first].platform_unreachable = TRUE;
       mr_roster_free (roster);
     }
 }
 
-/* Guards against one call more at the platform, at a time and for good, after each renewal of a
- * watch whose call is still out. */
+/* Guards against an additional concurrent call to the platform, permanently, after each renewal of
+ * a watch whose call is still outstanding. */
 static void
 test_renewed_watch (void **state)
 {
@@ -476,14 +482,14 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_renewed_watch),
-    cmocka_unit_test (test_window),
-    cmocka_unit_test (test_restarts),
-    cmocka_unit_test (test_first_send),
+    cmocka_unit_test (test_window_budget),
+    cmocka_unit_test (test_budget_of_restarting_process),
+    cmocka_unit_test (test_startup_allowance),
     cmocka_unit_test (test_entries),
     cmocka_unit_test (test_entries_spread),
-    cmocka_unit_test (test_entries_at_a_start),
-    cmocka_unit_test (test_relay_watchers),
-    cmocka_unit_test (test_outage_for_all),
+    cmocka_unit_test (test_entries_during_startup),
+    cmocka_unit_test (test_watchers),
+    cmocka_unit_test (test_watchers_in_store_outage),
     cmocka_unit_test (test_first_watcher),
     cmocka_unit_test (test_merge),
     cmocka_unit_test (test_timers),
