--- a/src/health.c
+++ b/src/health.c
@@ -153,7 +153,7 @@
 mr_health_usable (const MrHealth *health)
 {
   /* Calls still running when a draining target exits are lost, so new calls stop with
-   * the first sign of leaving, well within the few seconds that the API promises. */
+   * the first sign of leaving, well within the few seconds that are guaranteed. */
   if (health->state == MR_HEALTH_LEAVING)
     return !MR_SAFEGUARD (MR_GUARD_LEAVING);
   return health->state == MR_HEALTH_UP;
