--- a/src/member.c
+++ b/src/member.c
@@ -5,9 +5,9 @@
 
 typedef struct
 {
-  MrMemberList list; /* first, so that a list is cast to its holder */
+  MrMemberList list; /* first, so that an MrMemberList can be cast to it */
   atomic_int references;
-} Holder;
+} SharedList;
 
 static int
 S_compare (const void *a, const void *b)
@@ -18,27 +18,27 @@
 MrMemberList *
 mr_member_list_new (const MrMember *members, guint count)
 {
-  Holder *holder = g_new0 (Holder, 1);
-  atomic_init (&holder->references, 1);
-  holder->list.count = count;
-  holder->list.members = g_new0 (MrMember, MAX (count, 1));
+  SharedList *shared = g_new0 (SharedList, 1);
+  atomic_init (&shared->references, 1);
+  shared->list.count = count;
+  shared->list.members = g_new0 (MrMember, MAX (count, 1));
   if (count > 0)
-    memcpy (holder->list.members, members, count * sizeof *members);
-  qsort (holder->list.members, count, sizeof *members, S_compare);
-  return &holder->list;
+    memcpy (shared->list.members, members, count * sizeof *members);
+  qsort (shared->list.members, count, sizeof *members, S_compare);
+  return &shared->list;
 }
 
 MrMemberList *
 mr_member_list_ref (MrMemberList *list)
 {
-  atomic_fetch_add (&((Holder *) list)->references, 1);
+  atomic_fetch_add (&((SharedList *) list)->references, 1);
   return list;
 }
 
 void
 mr_member_list_unref (MrMemberList *list)
 {
-  if (!list || atomic_fetch_sub (&((Holder *) list)->references, 1) > 1)
+  if (!list || atomic_fetch_sub (&((SharedList *) list)->references, 1) > 1)
     return;
   g_free (list->members);
   g_free (list);
--- a/src/member.h
+++ b/src/member.h
@@ -1,5 +1,5 @@
-/* Members of the tier, as messages between tasks carry them: an immutable list
- * shared by reference count. */
+/* Members of the fleet, as messages between tasks carry them: an immutable, reference-counted
+ * list. */
 #pragma once
 
 #include "document.h"
@@ -7,8 +7,8 @@
 
 enum
 {
-  /* In thousandths of a core; a wide search keeps a VM of less busy for longer than
-   * its callers' aim, so that it is named to callers only where there are no others. */
+  /* In thousandths of a core.  A wide search takes longer than the callers' latency goal on a
+   * VM with less, so such a VM is named to callers only if there are no others. */
   MR_SMALL_CAPACITY = 200,
 };
 
@@ -16,26 +16,26 @@
 {
   MR_MEMBER_ALIVE,
   MR_MEMBER_SUSPECT,
-  MR_MEMBER_LEAVING, /* serves, but is handed no new work */
+  MR_MEMBER_LEAVING, /* still serves, but gets no new work */
   MR_MEMBER_LEFT,
   MR_MEMBER_DEAD,
 } MrMemberState;
 
 typedef struct
 {
-  char name[MR_NAME_MAX + 1]; /* stable over restarts */
-  guint64 incarnation;        /* of the process; random, never reused */
+  char name[MR_NAME_MAX + 1]; /* stable across restarts */
+  guint64 incarnation;        /* never reused; normally higher than those of earlier processes */
   char ip[46];
   int peer_port;
   int http_port;
   char domain[MR_NAME_MAX + 1];
   char region[MR_NAME_MAX + 1];
   MrMemberState state;
-  guint32 state_version;         /* raised by the member itself with each news of it */
-  gboolean busy;                 /* starts, or refuses load now: not to be handed to callers */
-  gboolean platform_unreachable; /* can't reach the platform */
-  guint32 capacity;              /* processor that it may use, in thousandths of a core */
-  guint32 load;                  /* of these, what requests take; in coarse steps */
+  guint32 state_version; /* raised by the member itself with each change that it announces */
+  gboolean busy;         /* starting, or refusing load: not to be named to callers */
+  gboolean platform_unreachable; /* the member can't reach the platform */
+  guint32 capacity;              /* CPU available to it, in thousandths of a core */
+  guint32 load;                  /* CPU used by requests, in the same unit; in coarse steps */
 } MrMember;
 
 typedef struct
@@ -51,7 +51,7 @@
 const MrMember *mr_member_list_find (const MrMemberList *list, const char *name);
 const char *mr_member_state_name (MrMemberState state);
 
-/* May be handed work. */
+/* Returns TRUE if the member may be given work. */
 static inline gboolean
 mr_member_usable (const MrMember *member)
 {
--- a/src/membership.c
+++ b/src/membership.c
@@ -3,38 +3,40 @@
 #include "log.h"
 #include "safeguard.h"
 
-/* Each successor is pinged this often. */
-static const MrTime PING_GAP = 1 * MR_SECOND;
-static const MrTime ACK_WAIT = 500 * MR_MS;
-/* Pings in a row without an ack that make a member suspect. */
-static const guint MISSES = 2;
-/* Time for a suspect to refute: several rounds of heartbeats. */
-static const MrTime SUSPICION = 4 * MR_SECOND;
-/* The dead are told of this long, then forgotten. */
-static const MrTime BURIAL = 60 * MR_SECOND;
-/* Seeds are asked this often for members we don't see (healed partitions). */
-static const MrTime JOIN_GAP = 10 * MR_SECOND;
-static const MrTime JOIN_GAP_ALONE = 500 * MR_MS;
-/* A process that has just started and is alone yet asks this often: where all start
- * within 0.3 s, its seeds may be some of those that come later. */
-static const MrTime JOIN_GAP_FIRST = 60 * MR_MS;
-static const MrTime JUST_STARTED = 1 * MR_SECOND;
-/* A gap between ticks over this means that this process was stopped. */
-static const MrTime FROZEN = 1500 * MR_MS;
-/* Two views that differ this long have missed news; then one tells all, and not
- * again before TELL_ALL_GAP, since a full list is large. */
-static const MrTime DIFFER_MAX = 8 * MR_SECOND;
-static const MrTime TELL_ALL_GAP = 30 * MR_SECOND;
-/* Between two such lists, whoever they are for. */
-static const MrTime LISTS_GAP = 2 * MR_SECOND;
-/* One that starts asks another member for the list after this. */
-static const MrTime LIST_GAP = 150 * MR_MS;
-/* Where all start together a seed answers the first that ask before it has heard of
- * the others, and news of hundreds takes a second.  So each asks a seed again after
- * this and after thrice this: asked for addresses, small VMs that had not heard of the
- * large ones named each other, and a wide search took 0.25 s there. */
-static const MrTime LOOK_GAP = 100 * MR_MS;
-static const guint LOOKS = 2;
+/* Interval between pings to the same successor. */
+static const MrTime PING_INTERVAL = 1 * MR_SECOND;
+static const MrTime ACK_TIMEOUT = 500 * MR_MS;
+/* Consecutive pings without an ack that make a member suspect. */
+static const guint SUSPECT_AFTER_MISSES = 2;
+/* Time for a suspect to refute the suspicion: several rounds of heartbeats. */
+static const MrTime SUSPICION_TIMEOUT = 4 * MR_SECOND;
+/* Dead members are kept in the updates for this long, then forgotten. */
+static const MrTime DEAD_RETENTION = 60 * MR_SECOND;
+/* Interval between queries for members that are not in the view, to heal partitions. */
+static const MrTime JOIN_INTERVAL = 10 * MR_SECOND;
+static const MrTime JOIN_INTERVAL_ALONE = 500 * MR_MS;
+/* Shorter interval for a process that has just started and knows no other member: where all
+ * start within 0.3 s, its seeds may start later than itself. */
+static const MrTime JOIN_INTERVAL_STARTING = 60 * MR_MS;
+static const MrTime STARTING_PERIOD = 1 * MR_SECOND;
+/* A longer gap between ticks means that this process was suspended. */
+static const MrTime TICK_GAP_MAX = 1500 * MR_MS;
+/* If two views differ for this long, updates were lost.  The full list is sent then, and not
+ * again before FULL_LIST_INTERVAL, since it is large. */
+static const MrTime VIEW_DIFFERENCE_MAX = 8 * MR_SECOND;
+static const MrTime FULL_LIST_INTERVAL = 30 * MR_SECOND;
+/* Minimum time between two such lists, to any members. */
+static const MrTime FULL_LIST_INTERVAL_ANY = 2 * MR_SECOND;
+/* Time after which a starting member requests the full list from another member. */
+static const MrTime LIST_REQUEST_INTERVAL = 150 * MR_MS;
+/* Where all members start together, a seed answers the first queries before it knows the
+ * others, and updates about hundreds of members take a second to spread.  Each member therefore
+ * queries a seed again after this time and after three times this.  Without it, small VMs that
+ * had not yet learned of the large ones named each other to callers, and a wide search on them
+ * took 0.25 s. */
+static const MrTime SEED_QUERY_INTERVAL = 100 * MR_MS;
+static const guint SEED_QUERIES_MAX = 2;
+
 MrMembership *
 mr_membership_new (MrMembershipHost *host, const MrMember *self, guint32 seed)
 {
@@ -44,7 +46,8 @@
   m->peers = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
   m->seeds = g_array_new (FALSE, FALSE, sizeof (MrMember));
   m->random = g_rand_new_with_seed (seed);
-  /* An answer that was meant for the process before fits no number of this one. */
+  /* Random start values, so that an ack for the previous process matches no id or number of
+   * this one. */
   m->last_update_seq = g_rand_int (m->random);
   m->last_ping_id = g_rand_int (m->random);
   m->links_stale = TRUE;
@@ -76,13 +79,14 @@
   m->registry_digest = digest;
 }
 
-/* @teller: who told of it; NULL: nobody, it was found out here. */
+/* Records a change of @peer.  @source is the member that reported it; NULL if it was detected
+ * locally. */
 static void
-S_changed (MrMembership *m, MrTime now, Peer *peer, const char *teller, gboolean urgent)
+S_record_change (MrMembership *m, MrTime now, Peer *peer, const char *source, gboolean urgent)
 {
   peer->changed_at = now;
   peer->update_seq = ++m->last_update_seq;
-  peer->source_hash = teller ? g_str_hash (teller) : 0;
+  peer->source_hash = source ? g_str_hash (source) : 0;
   if (urgent)
     m->last_urgent_seq = peer->update_seq;
   m->links_stale = TRUE;
@@ -91,11 +95,11 @@
 }
 
 static MrHeartbeat
-S_heartbeat (MrMembership *m, MrHeartbeatKind kind, guint64 number, MrMember *updates)
+S_make_heartbeat (MrMembership *m, MrHeartbeatKind kind, guint64 ping_id, MrMember *updates)
 {
   return (MrHeartbeat){
     .kind = kind,
-    .ping_id = number,
+    .ping_id = ping_id,
     .registry_digest = m->registry_digest,
     .members_digest = mr_membership_members_digest (m),
     .from = m->self.member,
@@ -104,9 +108,9 @@
 }
 
 static void
-S_send_all (MrMembership *m, MrTime now, Peer *peer, guint64 number)
+S_send_full_list (MrMembership *m, MrTime now, Peer *peer, guint64 ping_id)
 {
-  MrHeartbeat heartbeat = S_heartbeat (m, MR_HEARTBEAT_ACK, number, NULL);
+  MrHeartbeat heartbeat = S_make_heartbeat (m, MR_HEARTBEAT_ACK, ping_id, NULL);
   mr_updates_fill_all (m, &heartbeat);
   heartbeat.updates_acked = peer->received_seq;
   peer->sent_seq = heartbeat.updates_upto;
@@ -117,41 +121,41 @@
   g_free (heartbeat.updates);
 }
 
-/* TRUE if @news replaces what is known of the same member. */
+/* Returns TRUE if @update supersedes @known of the same member. */
 static gboolean
-S_newer (const MrMember *news, const MrMember *known)
+S_supersedes (const MrMember *update, const MrMember *known)
 {
-  if (news->incarnation != known->incarnation)
-    return news->incarnation > known->incarnation;
-  if (news->state_version != known->state_version)
-    return news->state_version > known->state_version;
-  return news->state > known->state;
+  if (update->incarnation != known->incarnation)
+    return update->incarnation > known->incarnation;
+  if (update->state_version != known->state_version)
+    return update->state_version > known->state_version;
+  return update->state > known->state;
 }
 
-/* Others' word on this member.  A pause or a cut makes others suspect it, and
- * without an answer it would be removed while it works; the word of the member
- * itself, with a higher number, overrides theirs. */
+/* Handles an update about the local member.  A pause or a partition makes others suspect it,
+ * and without a refutation it would be removed while it works.  The local record with a higher
+ * state version overrides theirs. */
 static void
-S_hear_of_self (MrMembership *m, MrTime now, const MrMember *news)
+S_apply_self_update (MrMembership *m, MrTime now, const MrMember *update)
 {
   MrMember *self = &m->self.member;
-  if (news->incarnation > self->incarnation)
+  if (update->incarnation > self->incarnation)
     {
-      /* An earlier process with a clock ahead of ours: go past it. */
-      self->incarnation = news->incarnation + 1;
+      /* An earlier process whose clock was ahead of ours: move past its incarnation. */
+      self->incarnation = update->incarnation + 1;
       self->state_version = 0;
-      S_changed (m, now, &m->self, NULL, TRUE);
+      S_record_change (m, now, &m->self, NULL, TRUE);
       return;
     }
-  if (news->incarnation < self->incarnation || news->state == MR_MEMBER_ALIVE ||
-      news->state_version < self->state_version || news->state == self->state)
+  if (update->incarnation < self->incarnation || update->state == MR_MEMBER_ALIVE ||
+      update->state_version < self->state_version || update->state == self->state)
     return;
   if (!MR_SAFEGUARD (MR_GUARD_REFUTE))
     return;
-  self->state_version = news->state_version + 1;
-  mr_log (MR_LOG_NOTICE, MR_EVENT_REFUTED, "others call this daemon %s; refuted",
-          mr_member_state_name (news->state));
-  S_changed (m, now, &m->self, NULL, TRUE);
+  self->state_version = update->state_version + 1;
+  mr_log (MR_LOG_NOTICE, MR_EVENT_REFUTED, "other members report this daemon as %s; refuting it",
+          mr_member_state_name (update->state));
+  S_record_change (m, now, &m->self, NULL, TRUE);
 }
 
 static void
@@ -166,55 +170,55 @@
           member->peer_port, mr_member_state_name (member->state));
 }
 
-/* TRUE if others are to act on the difference at once; a load only shifts what is
- * handed to whom later. */
+/* Returns TRUE if the other members should act on the difference immediately.  A change of load
+ * only affects later placement of work. */
 static gboolean
-S_is_urgent (const MrMember *news, const MrMember *known)
+S_is_urgent (const MrMember *update, const MrMember *known)
 {
-  return news->incarnation != known->incarnation || news->state != known->state ||
-         news->busy != known->busy || news->platform_unreachable != known->platform_unreachable;
+  return update->incarnation != known->incarnation || update->state != known->state ||
+         update->busy != known->busy || update->platform_unreachable != known->platform_unreachable;
 }
 
 static void
-S_hear (MrMembership *m, MrTime now, const MrMember *news, const char *teller)
+S_apply_update (MrMembership *m, MrTime now, const MrMember *update, const char *source)
 {
-  if (g_str_equal (news->name, m->self.member.name))
+  if (g_str_equal (update->name, m->self.member.name))
     {
-      S_hear_of_self (m, now, news);
+      S_apply_self_update (m, now, update);
       return;
     }
-  Peer *peer = g_hash_table_lookup (m->peers, news->name);
+  Peer *peer = g_hash_table_lookup (m->peers, update->name);
   gboolean urgent = TRUE;
   if (!peer)
     {
-      if (news->state >= MR_MEMBER_LEFT)
-        return; /* nothing to bury */
+      if (update->state >= MR_MEMBER_LEFT)
+        return; /* never known, nothing to remove */
       peer = g_new0 (Peer, 1);
-      peer->member = *news;
+      peer->member = *update;
       peer->ping_at = now;
       g_hash_table_insert (m->peers, peer->member.name, peer);
     }
-  else if (S_newer (news, &peer->member))
+  else if (S_supersedes (update, &peer->member))
     {
-      urgent = S_is_urgent (news, &peer->member);
-      if (news->incarnation != peer->member.incarnation)
+      urgent = S_is_urgent (update, &peer->member);
+      if (update->incarnation != peer->member.incarnation)
         {
           peer->missed_acks = 0;
           mr_updates_reset_link (peer);
         }
-      if (news->state != peer->member.state || news->incarnation != peer->member.incarnation)
-        S_log_state (news);
-      peer->member = *news;
+      if (update->state != peer->member.state || update->incarnation != peer->member.incarnation)
+        S_log_state (update);
+      peer->member = *update;
     }
   else
     return;
-  S_changed (m, now, peer, teller, urgent);
+  S_record_change (m, now, peer, source, urgent);
 }
 
-/* A cut at the wrong moment can keep news from a member for good.  TRUE if @peer is
- * to be told everything. */
+/* Returns TRUE if @peer should be sent the full list: a partition at the wrong moment can make
+ * a member miss an update permanently. */
 static gboolean
-S_missed_news (MrMembership *m, MrTime now, Peer *peer, guint64 digest)
+S_needs_full_list (MrMembership *m, MrTime now, Peer *peer, guint64 digest)
 {
   if (digest == mr_membership_members_digest (m))
     {
@@ -223,24 +227,24 @@
     }
   if (peer->view_differs_since == 0)
     peer->view_differs_since = now;
-  return now - peer->view_differs_since >= DIFFER_MAX &&
-         (peer->full_list_sent_at == 0 || now - peer->full_list_sent_at >= TELL_ALL_GAP) &&
-         (m->full_list_sent_at == 0 || now - m->full_list_sent_at >= LISTS_GAP);
+  return now - peer->view_differs_since >= VIEW_DIFFERENCE_MAX &&
+         (peer->full_list_sent_at == 0 || now - peer->full_list_sent_at >= FULL_LIST_INTERVAL) &&
+         (m->full_list_sent_at == 0 || now - m->full_list_sent_at >= FULL_LIST_INTERVAL_ANY);
 }
 
 static void
 S_on_ping (MrMembership *m, MrTime now, Peer *peer, const MrHeartbeat *ping)
 {
   MrMember updates[MR_HEARTBEAT_UPDATES_MAX];
-  MrHeartbeat ack = S_heartbeat (m, MR_HEARTBEAT_ACK, ping->ping_id, updates);
+  MrHeartbeat ack = S_make_heartbeat (m, MR_HEARTBEAT_ACK, ping->ping_id, updates);
   if (ping->members_request == MR_MEMBERS_REQUEST_ALL ||
-      S_missed_news (m, now, peer, ping->members_digest))
+      S_needs_full_list (m, now, peer, ping->members_digest))
     {
-      S_send_all (m, now, peer, ping->ping_id);
+      S_send_full_list (m, now, peer, ping->ping_id);
       return;
     }
   ack.updates_acked = peer->received_seq;
-  /* A sender that is called something else here must hear of it, or it can't refute. */
+  /* A sender whose record here differs must receive it, or it can't refute it. */
   if (peer->member.state != ping->from.state || peer->member.incarnation != ping->from.incarnation)
     updates[ack.update_count++] = peer->member;
   if (ping->members_request == MR_MEMBERS_REQUEST_SAMPLE)
@@ -262,7 +266,7 @@
     return;
   peer->pending_ping = 0;
   peer->missed_acks = 0;
-  peer->ping_at = now + PING_GAP;
+  peer->ping_at = now + PING_INTERVAL;
 }
 
 void
@@ -270,14 +274,14 @@
 {
   const char *from = heartbeat->from.name;
   if (g_str_equal (from, m->self.member.name))
-    return; /* a seed that was our own address, or our name taken */
-  S_hear (m, now, &heartbeat->from, from);
+    return; /* a seed is the own address, or another daemon uses the same name */
+  S_apply_update (m, now, &heartbeat->from, from);
   for (guint i = 0; i < heartbeat->update_count; i++)
-    S_hear (m, now, &heartbeat->updates[i], from);
+    S_apply_update (m, now, &heartbeat->updates[i], from);
   m->joined = TRUE;
   Peer *peer = g_hash_table_lookup (m->peers, from);
   if (!peer)
-    return; /* it says that it has left */
+    return; /* it has announced that it left */
   if (peer->member.incarnation == heartbeat->from.incarnation)
     mr_updates_on_heartbeat (m, now, peer, heartbeat);
   if (heartbeat->kind == MR_HEARTBEAT_PING)
@@ -286,10 +290,10 @@
     S_on_ack (m, now, peer, heartbeat);
 }
 
-/* Time. */
+/* Timers. */
 
 static void
-S_suspect (MrMembership *m, MrTime now, Peer *peer)
+S_raise_suspicion (MrMembership *m, MrTime now, Peer *peer)
 {
   if (peer->member.state == MR_MEMBER_ALIVE)
     peer->member.state = MR_MEMBER_SUSPECT;
@@ -298,7 +302,7 @@
   else
     return;
   S_log_state (&peer->member);
-  S_changed (m, now, peer, NULL, TRUE);
+  S_record_change (m, now, peer, NULL, TRUE);
 }
 
 static void
@@ -307,8 +311,8 @@
   Peer *peer = m->links[index];
   MrMember updates[MR_HEARTBEAT_UPDATES_MAX];
   peer->pending_ping = ++m->last_ping_id;
-  peer->ping_at = now + ACK_WAIT;
-  MrHeartbeat ping = S_heartbeat (m, MR_HEARTBEAT_PING, peer->pending_ping, updates);
+  peer->ping_at = now + ACK_TIMEOUT;
+  MrHeartbeat ping = S_make_heartbeat (m, MR_HEARTBEAT_PING, peer->pending_ping, updates);
   ping.no_updates = m->no_updates[index];
   ping.updates_acked = peer->received_seq;
   if (!ping.no_updates)
@@ -327,8 +331,8 @@
                         mr_updates_urgent_due (m, now, peer, next);
       if (peer->ping_at <= now || urgent)
         {
-          if (peer->pending_ping != 0 && ++peer->missed_acks >= MISSES)
-            S_suspect (m, now, peer);
+          if (peer->pending_ping != 0 && ++peer->missed_acks >= SUSPECT_AFTER_MISSES)
+            S_raise_suspicion (m, now, peer);
           S_ping (m, now, i);
         }
       *next = MIN (*next, peer->ping_at);
@@ -346,16 +350,16 @@
       Peer *peer = item;
       if (peer->member.state == MR_MEMBER_SUSPECT)
         {
-          if (now >= peer->changed_at + SUSPICION)
+          if (now >= peer->changed_at + SUSPICION_TIMEOUT)
             {
               peer->member.state = MR_MEMBER_DEAD;
               S_log_state (&peer->member);
-              S_changed (m, now, peer, NULL, TRUE);
+              S_record_change (m, now, peer, NULL, TRUE);
             }
           else
-            *next = MIN (*next, peer->changed_at + SUSPICION);
+            *next = MIN (*next, peer->changed_at + SUSPICION_TIMEOUT);
         }
-      if (!mr_peer_is_present (peer) && now >= peer->changed_at + BURIAL)
+      if (!mr_peer_is_present (peer) && now >= peer->changed_at + DEAD_RETENTION)
         {
           m->links_stale = TRUE;
           m->members_digest = 0;
@@ -364,33 +368,33 @@
     }
 }
 
-/* @to: a member or the bare address of one. */
+/* Sends a ping that requests members.  @to is a member, or only the address of one. */
 static void
-S_ask (MrMembership *m, const MrMember *to, MrMembersRequest ask)
+S_request_members (MrMembership *m, const MrMember *to, MrMembersRequest request)
 {
   MrMember updates[MR_HEARTBEAT_UPDATES_MAX];
-  MrHeartbeat ping = S_heartbeat (m, MR_HEARTBEAT_PING, ++m->last_ping_id, updates);
-  ping.members_request = ask;
-  /* One that is called dead here refutes it, if it lives. */
+  MrHeartbeat ping = S_make_heartbeat (m, MR_HEARTBEAT_PING, ++m->last_ping_id, updates);
+  ping.members_request = request;
+  /* A member that is recorded as dead here refutes that if it is alive. */
   if (to->name[0] != '\0' && to->state >= MR_MEMBER_LEFT)
     updates[ping.update_count++] = *to;
   m->host->send (m->host, to, &ping);
 }
 
 static MrTime
-S_join_gap (MrMembership *m, MrTime now)
+S_join_interval (MrMembership *m, MrTime now)
 {
   if (m->joined)
-    return JOIN_GAP;
+    return JOIN_INTERVAL;
   if (m->first_tick_at == 0)
     m->first_tick_at = now;
-  return now - m->first_tick_at < JUST_STARTED ? JOIN_GAP_FIRST : JOIN_GAP_ALONE;
+  return now - m->first_tick_at < STARTING_PERIOD ? JOIN_INTERVAL_STARTING : JOIN_INTERVAL_ALONE;
 }
 
-/* Asks one address that should be a member and is not seen as one: a seed, or
- * one of the dead.  That is how two halves find each other again.  A process that
- * has just started asks all seeds, since one of them may start later than itself:
- * the others would take half a second to hear of it. */
+/* Queries one address that should be a member but is not in the view: a seed or a dead member.
+ * This lets the two sides of a partition find each other again.  A process that has just
+ * started queries all seeds, since some may start later than itself; otherwise the others
+ * would take half a second to learn of it. */
 static void
 S_tick_join (MrMembership *m, MrTime now, MrTime *next)
 {
@@ -421,37 +425,37 @@
         }
       if (m->join_at == 0)
         for (guint i = 0; i < absent->len; i++)
-          S_ask (m, g_ptr_array_index (absent, i), MR_MEMBERS_REQUEST_SAMPLE);
+          S_request_members (m, g_ptr_array_index (absent, i), MR_MEMBERS_REQUEST_SAMPLE);
       else if (absent->len > 0)
-        S_ask (m,
-               g_ptr_array_index (absent,
-                                  (guint) g_rand_int_range (m->random, 0, (gint32) absent->len)),
-               MR_MEMBERS_REQUEST_SAMPLE);
-      MrTime gap = S_join_gap (m, now);
-      m->join_at = now + gap / 2 + (MrTime) (g_rand_double (m->random) * (double) gap);
+        S_request_members (m,
+                           g_ptr_array_index (absent, (guint) g_rand_int_range (
+                                                          m->random, 0, (gint32) absent->len)),
+                           MR_MEMBERS_REQUEST_SAMPLE);
+      MrTime interval = S_join_interval (m, now);
+      m->join_at = now + interval / 2 + (MrTime) (g_rand_double (m->random) * (double) interval);
     }
   *next = MIN (*next, m->join_at);
 }
 
-/* A present member, of the own failure domain if one is known there. */
+/* Returns a random present member, from the local failure domain if one is known there. */
 static const Peer *
-S_choose_teller (const MrMembership *m)
+S_choose_list_source (const MrMembership *m)
 {
   const Peer *chosen = NULL;
   gint32 seen = 0;
-  gboolean near = FALSE;
+  gboolean own_domain_only = FALSE;
   GHashTableIter iter;
   gpointer item = NULL;
   g_hash_table_iter_init (&iter, m->peers);
   while (g_hash_table_iter_next (&iter, NULL, &item))
     {
       const Peer *peer = item;
-      gboolean is_near = mr_peer_is_in_own_domain (m, peer);
-      if (!mr_peer_is_present (peer) || (near && !is_near))
+      gboolean in_own_domain = mr_peer_is_in_own_domain (m, peer);
+      if (!mr_peer_is_present (peer) || (own_domain_only && !in_own_domain))
         continue;
-      if (is_near && !near)
+      if (in_own_domain && !own_domain_only)
         {
-          near = TRUE;
+          own_domain_only = TRUE;
           seen = 0;
         }
       if (g_rand_int_range (m->random, 0, ++seen) == 0)
@@ -460,46 +464,45 @@
   return chosen;
 }
 
-/* One that has started asks one member for the whole list, and another if that one
+/* After the start, requests the full member list from one member, and from another if that one
  * does not answer. */
 static void
-S_tick_list (MrMembership *m, MrTime now, MrTime *next)
+S_tick_list_request (MrMembership *m, MrTime now, MrTime *next)
 {
   if (m->list_received || !m->joined)
     return;
   if (now >= m->request_list_at)
     {
-      const Peer *teller = S_choose_teller (m);
-      if (teller)
-        S_ask (m, &teller->member, MR_MEMBERS_REQUEST_ALL);
-      m->request_list_at = now + LIST_GAP;
+      const Peer *source = S_choose_list_source (m);
+      if (source)
+        S_request_members (m, &source->member, MR_MEMBERS_REQUEST_ALL);
+      m->request_list_at = now + LIST_REQUEST_INTERVAL;
     }
   *next = MIN (*next, m->request_list_at);
 }
 
 static void
-S_tick_look (MrMembership *m, MrTime now, MrTime *next)
+S_tick_seed_query (MrMembership *m, MrTime now, MrTime *next)
 {
-  if (!m->joined || m->seed_asks >= LOOKS || m->seeds->len == 0)
+  if (!m->joined || m->seed_query_count >= SEED_QUERIES_MAX || m->seeds->len == 0)
     return;
-  if (m->ask_seed_at == 0)
-    m->ask_seed_at = now + LOOK_GAP;
-  if (now >= m->ask_seed_at)
+  if (m->seed_query_at == 0)
+    m->seed_query_at = now + SEED_QUERY_INTERVAL;
+  if (now >= m->seed_query_at)
     {
-      guint which = (guint) g_rand_int_range (m->random, 0, (gint32) m->seeds->len);
-      S_ask (m, &g_array_index (m->seeds, MrMember, which), MR_MEMBERS_REQUEST_SAMPLE);
-      m->ask_seed_at = now + 2 * LOOK_GAP;
-      m->seed_asks++;
+      guint index = (guint) g_rand_int_range (m->random, 0, (gint32) m->seeds->len);
+      S_request_members (m, &g_array_index (m->seeds, MrMember, index), MR_MEMBERS_REQUEST_SAMPLE);
+      m->seed_query_at = now + 2 * SEED_QUERY_INTERVAL;
+      m->seed_query_count++;
     }
-  if (m->seed_asks < LOOKS)
-    *next = MIN (*next, m->ask_seed_at);
+  if (m->seed_query_count < SEED_QUERIES_MAX)
+    *next = MIN (*next, m->seed_query_at);
 }
 
-/* After a stop of this process every ping that was out looks overdue, though it
- * was we who did not listen; accusing the others would remove healthy members.
- */
+/* After this process was suspended every outstanding ping looks overdue although the fault was
+ * local.  Counting these as missed acks would remove healthy members. */
 static void
-S_forgive (MrMembership *m, MrTime now)
+S_reset_timeouts (MrMembership *m, MrTime now)
 {
   GHashTableIter iter;
   gpointer item = NULL;
@@ -518,23 +521,23 @@
 MrTime
 mr_membership_tick (MrMembership *m, MrTime now)
 {
-  if (m->last_tick_at != 0 && now - m->last_tick_at > FROZEN)
-    S_forgive (m, now);
+  if (m->last_tick_at != 0 && now - m->last_tick_at > TICK_GAP_MAX)
+    S_reset_timeouts (m, now);
   m->last_tick_at = now;
-  MrTime next = now + PING_GAP;
+  MrTime next = now + PING_INTERVAL;
   S_tick_peers (m, now, &next);
   S_tick_links (m, now, &next);
   S_tick_join (m, now, &next);
-  S_tick_list (m, now, &next);
-  S_tick_look (m, now, &next);
+  S_tick_list_request (m, now, &next);
+  S_tick_seed_query (m, now, &next);
   return MAX (next, now + 1);
 }
 
 static void
-S_changed_self (MrMembership *m, MrTime now)
+S_record_self_change (MrMembership *m, MrTime now)
 {
   m->self.member.state_version++;
-  S_changed (m, now, &m->self, NULL, FALSE);
+  S_record_change (m, now, &m->self, NULL, FALSE);
 }
 
 static void
@@ -551,17 +554,17 @@
   if (m->self.member.state == state)
     return;
   m->self.member.state = state;
-  S_changed_self (m, now);
+  S_record_self_change (m, now);
   S_ping_all (m, now);
 }
 
 void
-mr_membership_set_platform_unreachable (MrMembership *m, MrTime now, gboolean cut_off)
+mr_membership_set_platform_unreachable (MrMembership *m, MrTime now, gboolean unreachable)
 {
-  if (m->self.member.platform_unreachable == cut_off)
+  if (m->self.member.platform_unreachable == unreachable)
     return;
-  m->self.member.platform_unreachable = cut_off;
-  S_changed_self (m, now);
+  m->self.member.platform_unreachable = unreachable;
+  S_record_self_change (m, now);
   S_ping_all (m, now);
 }
 
@@ -571,7 +574,7 @@
   if (m->self.member.load == load)
     return;
   m->self.member.load = load;
-  S_changed_self (m, now);
+  S_record_self_change (m, now);
 }
 
 void
@@ -580,9 +583,9 @@
   if (m->self.member.busy == busy)
     return;
   m->self.member.busy = busy;
-  S_changed_self (m, now);
-  /* Callers are sent here, and those that start learn what is known here, as soon
-   * as others hear of it. */
+  S_record_self_change (m, now);
+  /* Callers are routed here, and starting daemons fetch objects from here, only after the
+   * others have learned of it. */
   if (!busy)
     S_ping_all (m, now);
 }
--- a/src/membership.h
+++ b/src/membership.h
@@ -1,14 +1,16 @@
-/* Who is in the tier: heartbeats along fixed links, suspicion before removal.
+/* Group membership of the daemons: heartbeats along fixed links, and a suspicion period before
+ * a member is declared dead.
  *
- * Each member pings its successor on each of MR_RINGS rings (the members sorted
- * by a hash that differs from ring to ring), so that each is watched by as many
- * as it watches and the cost does not grow with the fleet.  Half of the rings stay
- * inside the failure domain.  News of members ride on pings and acks, and go over
- * each link until they are acknowledged, so once where nothing is lost.  A member that is suspected
- * says so itself and is believed.  After the SWIM protocol (Das, Gupta, Motivala 2002), with fixed
- * links in place of random ones; docs/design/membership.md has the reasons.
+ * Each member pings its successor on each of MR_RING_COUNT rings (the members sorted by a hash
+ * that differs from ring to ring), so that each member is monitored by as many others as it
+ * monitors and its cost does not grow with the fleet.  Half of the rings stay inside the
+ * failure domain.  Membership updates ride on pings and acks and are resent on each link until
+ * they are acknowledged, so they are sent once where nothing is lost.  A suspected member
+ * refutes the suspicion itself, and its refutation overrides it.  The protocol follows SWIM
+ * (Das, Gupta, Motivala 2002), with fixed links instead of random ones;
+ * docs/design/membership.md has the reasons.
  *
- * The view is a hint: nothing that must hold depends on it. */
+ * The view is a hint: correctness must not depend on it. */
 #pragma once
 
 #include "clock.h"
@@ -16,14 +18,14 @@
 
 enum
 {
-  /* Rings over the members of the own failure domain, then rings over all.  Heartbeats
-   * and news that cross into another domain are paid for; two rings over all are
-   * enough that a domain which is cut off as a whole is found out by others. */
+  /* Rings over the members of the local failure domain, and rings over all members.  Traffic
+   * between domains is paid for; two rings over all members are enough for others to detect
+   * that a whole domain is cut off. */
   MR_DOMAIN_RINGS = 2,
   MR_GLOBAL_RINGS = 2,
   MR_RING_COUNT = MR_DOMAIN_RINGS + MR_GLOBAL_RINGS,
-  MR_HEARTBEAT_UPDATES_MAX =
-      96, /* news of members on one heartbeat; 70 bytes each, 15 compressed */
+  /* Membership updates on one heartbeat; 70 bytes each, 15 compressed. */
+  MR_HEARTBEAT_UPDATES_MAX = 96,
 };
 
 typedef enum
@@ -32,12 +34,12 @@
   MR_HEARTBEAT_ACK,
 } MrHeartbeatKind;
 
-/* What a ping asks its answer to carry beside news. */
+/* Members that a ping asks its ack to list, besides the updates. */
 typedef enum
 {
   MR_MEMBERS_REQUEST_NONE,
-  /* Some members to go on from, by the connection that the ping came by; what a seed is
-   * asked for. */
+  /* A sample of members to contact next, sent back over the connection of the ping; what a
+   * joining member asks a seed for. */
   MR_MEMBERS_REQUEST_SAMPLE,
   MR_MEMBERS_REQUEST_ALL, /* every member */
 } MrMembersRequest;
@@ -45,18 +47,18 @@
 typedef struct
 {
   MrHeartbeatKind kind;
-  MrMembersRequest members_request; /* of a ping */
-  gboolean no_updates;              /* a ping: the answer is to carry no news */
-  gboolean is_full_list;            /* the updates are every member that the sender knows */
+  MrMembersRequest members_request; /* of pings */
+  gboolean no_updates;              /* of pings: the ack carries no updates */
+  gboolean is_full_list;            /* the updates are all members that the sender knows */
   guint64 ping_id;
-  /* News of one sender are numbered in the order in which it learned them.  The
-   * updates are all its news for the receiver after the number @after up to @upto; a
-   * @upto of 0: they are none of these. */
+  /* A sender numbers its membership updates in the order in which it learned them.  This
+   * heartbeat carries all of the sender's updates for the receiver with sequence numbers above
+   * @updates_after, up to @updates_upto.  With @updates_upto 0 it carries no such range. */
   guint64 updates_after;
   guint64 updates_upto;
-  guint64 updates_acked;   /* of the receiver's news the sender has all up to this; 0: none */
-  guint64 registry_digest; /* of the sender's registry */
-  guint64 members_digest;  /* digest of the members it sees */
+  guint64 updates_acked;   /* the sender has the receiver's updates up to this number; 0: none */
+  guint64 registry_digest; /* of the sender's object registry */
+  guint64 members_digest;  /* digest of the members that the sender sees as present */
   MrMember from;
   guint update_count;
   MrMember *updates;
@@ -65,48 +67,48 @@
 typedef struct _MrMembership MrMembership;
 typedef struct _MrMembershipHost MrMembershipHost;
 
-/* Vtable; first member of whoever sends the heartbeats. */
+/* Callbacks; embedded as the first field of the struct that sends the heartbeats. */
 struct _MrMembershipHost
 {
-  /* @to: at least ip and peer_port are set. */
+  /* At least ip and peer_port of @to are set. */
   void (*send) (MrMembershipHost *host, const MrMember *to, const MrHeartbeat *heartbeat);
-  /* @member is new, or something about it has changed. */
+  /* @member is new or has changed. */
   void (*member_changed) (MrMembershipHost *host, const MrMember *member);
 };
 
 MrMembership *mr_membership_new (MrMembershipHost *host, const MrMember *self, guint32 seed);
 void mr_membership_free (MrMembership *membership);
 
-/* Where to join, and to look for members after a partition; replaces the last
- * list.  Own address and duplicates do no harm. */
+/* Sets the addresses to join through, and to probe for missing members after a partition;
+ * replaces the previous list.  The own address and duplicates are allowed. */
 void mr_membership_set_seeds (MrMembership *membership, const MrMember *seeds, guint count);
 void mr_membership_set_registry_digest (MrMembership *membership, guint64 digest);
 
 void mr_membership_receive (MrMembership *membership, MrTime now, const MrHeartbeat *heartbeat);
 
-/* Returns when to come back. */
+/* Runs what is due; returns the time of the next call. */
 MrTime mr_membership_tick (MrMembership *membership, MrTime now);
 
-/* Own news, told to the others. */
+/* Change the state of the local member and announce it to the others. */
 void mr_membership_set_state (MrMembership *membership, MrTime now, MrMemberState state);
 void mr_membership_set_busy (MrMembership *membership, MrTime now, gboolean busy);
-/* Told at once: others take over what this daemon did at the platform. */
+/* Announced immediately, since other members then take over this daemon's platform watches. */
 void
-mr_membership_set_platform_unreachable (MrMembership *membership, MrTime now, gboolean cut_off);
-/* In thousandths of a core. */
+mr_membership_set_platform_unreachable (MrMembership *membership, MrTime now, gboolean unreachable);
+/* @load is in thousandths of a core. */
 void mr_membership_set_load (MrMembership *membership, MrTime now, guint32 load);
 
-/* A new list of all members known, the dead included while they are told of. */
+/* Returns a new list of all known members, including dead ones until they are forgotten. */
 MrMemberList *mr_membership_list (const MrMembership *membership);
-/* All members known but the own one, the dead included while they are told of. */
+/* Visits all known members except the local one, including dead ones until they are forgotten. */
 void mr_membership_foreach (const MrMembership *membership,
                             void (*visit) (const MrMember *member, void *user),
                             void *user);
-/* Borrowed until the next call that takes a time; NULL if unknown. */
+/* Returns NULL if unknown; valid until the next call that takes a time. */
 const MrMember *mr_membership_find (const MrMembership *membership, const char *name);
 const MrMember *mr_membership_self (const MrMembership *membership);
 
-/* TRUE once another member has answered. */
+/* Returns TRUE once another member has been heard from. */
 gboolean mr_membership_joined (const MrMembership *membership);
 
 enum
@@ -114,9 +116,9 @@
   MR_NEIGHBOURS_MAX = 16,
 };
 
-/* Members whom this one tells of objects: those that it exchanges heartbeats with on
- * the rings of its own failure domain, and where it is one of its domain's few
- * bridges one member of each other domain.  Returns how many. */
+/* Returns the members to which this one sends new object versions: its heartbeat partners on
+ * the rings of its own failure domain and, if it is one of the domain's few bridges, one
+ * member of each other domain.  The return value is their number. */
 guint mr_membership_neighbours (MrMembership *membership,
                                 MrTime now,
                                 const MrMember *neighbours[MR_NEIGHBOURS_MAX]);
--- a/src/membership_links.c
+++ b/src/membership_links.c
@@ -2,53 +2,54 @@
 
 #include <xxhash.h>
 
-/* Members of a failure domain, the own one included, from which on it has rings of
- * its own: fewer are watched and told by too few if not by others as well. */
-static const guint NEAR_LEAST = 8;
-/* Who has pinged within this is a neighbour. */
-static const MrTime PINGED_LATELY = 3 * MR_SECOND;
+/* Members in the local failure domain, including this one, from which it has rings of its own.
+ * Smaller domains would have too few members to monitor each other and spread updates. */
+static const guint DOMAIN_RINGS_MIN = 8;
+/* Members that have pinged within this time count as neighbours. */
+static const MrTime RECENT_PING = 3 * MR_SECOND;
 
 enum
 {
-  /* Members of a failure domain that tell the other domains of objects.  Each
-   * domain reads the platform itself, so that these are for the times when it
-   * can't; two, since one may be about to die. */
+  /* Members of a failure domain that send object versions to the other domains.  Each domain
+   * reads the platform itself, so bridges matter only while it can't; there are two because
+   * one may be about to fail. */
   BRIDGES = 2,
-  DOMAINS_MAX = 12,  /* that bridges reach; beyond, digests in heartbeats do it */
-  BRIDGE_SEED = 101, /* of the hash that ranks; any that no ring uses */
+  /* Domains that bridges reach; others are synchronised by the digests in heartbeats. */
+  DOMAINS_MAX = 12,
+  BRIDGE_SEED = 101, /* of the hash that ranks bridges; differs from all ring seeds */
 };
 
 static guint64
-S_ring_place (guint ring, const char *name)
+S_ring_position (guint ring, const char *name)
 {
   return XXH64 (name, strlen (name), ring);
 }
 
 static gboolean
-S_is_near_ring (const MrMembership *m, guint ring)
+S_is_domain_ring (const MrMembership *m, guint ring)
 {
   return m->has_domain_rings && ring < MR_DOMAIN_RINGS;
 }
 
-/* On a ring over all domains a suspect is passed over at once, not only once it is
- * dead: where a domain is lost as a whole, members whose watchers were all in it would
- * be found out 5 s after the others, and callers be sent to them meanwhile.  One that
- * lives refutes with its own pings. */
+/* On a ring over all domains a suspect is skipped immediately rather than once it is dead.
+ * Otherwise, when a whole domain is lost, members monitored only from inside it would be
+ * detected 5 s after the others, and callers would be sent to them meanwhile.  A suspect that
+ * is alive refutes the suspicion with its own pings. */
 static gboolean
 S_is_on_ring (const MrMembership *m, const Peer *peer, guint ring)
 {
   if (!mr_peer_is_present (peer))
     return FALSE;
-  if (S_is_near_ring (m, ring))
+  if (S_is_domain_ring (m, ring))
     return mr_peer_is_in_own_domain (m, peer);
   return ring < MR_DOMAIN_RINGS || peer->member.state != MR_MEMBER_SUSPECT;
 }
 
-/* The member that follows us on @ring; NULL if there is no other. */
+/* Returns the next member on @ring; NULL if there is no other. */
 static Peer *
 S_successor (MrMembership *m, guint ring)
 {
-  guint64 own = S_ring_place (ring, m->self.member.name);
+  guint64 own = S_ring_position (ring, m->self.member.name);
   Peer *best = NULL;
   guint64 best_distance = G_MAXUINT64;
   GHashTableIter iter;
@@ -59,7 +60,7 @@
       Peer *peer = item;
       if (!S_is_on_ring (m, peer, ring))
         continue;
-      guint64 distance = S_ring_place (ring, peer->member.name) - own;
+      guint64 distance = S_ring_position (ring, peer->member.name) - own;
       if (distance > best_distance)
         continue;
       best = peer;
@@ -69,7 +70,7 @@
 }
 
 static guint
-S_count_near (MrMembership *m)
+S_count_own_domain (MrMembership *m)
 {
   guint count = 1;
   GHashTableIter iter;
@@ -87,16 +88,16 @@
     return;
   m->links_stale = FALSE;
   m->link_count = 0;
-  m->has_domain_rings = S_count_near (m) >= NEAR_LEAST;
+  m->has_domain_rings = S_count_own_domain (m) >= DOMAIN_RINGS_MIN;
   for (guint ring = 0; ring < MR_RING_COUNT; ring++)
     {
       Peer *peer = S_successor (m, ring);
-      gboolean known = !peer;
+      gboolean skip = !peer;
       for (guint i = 0; i < m->link_count; i++)
-        known = known || m->links[i] == peer;
-      if (known)
+        skip = skip || m->links[i] == peer;
+      if (skip)
         continue;
-      /* One ring over all carries news between domains; the last finds deaths. */
+      /* One global ring carries updates between domains; the last one only detects failures. */
       m->no_updates[m->link_count] = m->has_domain_rings && ring == MR_RING_COUNT - 1;
       m->links[m->link_count++] = peer;
     }
@@ -107,12 +108,12 @@
 typedef struct
 {
   const char *domain;
-  const Peer *best[BRIDGES]; /* NULL: self, or nobody */
+  const Peer *peers[BRIDGES]; /* NULL: the local member, or none */
   guint64 scores[BRIDGES];
 } Bridges;
 
 static Bridges *
-S_bridges_of (Bridges *domains, guint *count, const char *domain)
+S_find_bridges (Bridges *domains, guint *count, const char *domain)
 {
   for (guint i = 0; i < *count; i++)
     if (g_str_equal (domains[i].domain, domain))
@@ -124,9 +125,9 @@
 }
 
 static void
-S_rank (Bridges *domains, guint *count, const MrMember *member, const Peer *peer)
+S_rank_bridge (Bridges *domains, guint *count, const MrMember *member, const Peer *peer)
 {
-  Bridges *bridges = S_bridges_of (domains, count, member->domain);
+  Bridges *bridges = S_find_bridges (domains, count, member->domain);
   guint64 score = XXH64 (member->name, strlen (member->name), BRIDGE_SEED);
   for (guint rank = 0; bridges && rank < BRIDGES; rank++)
     {
@@ -135,15 +136,15 @@
       for (guint below = BRIDGES - 1; below > rank; below--)
         {
           bridges->scores[below] = bridges->scores[below - 1];
-          bridges->best[below] = bridges->best[below - 1];
+          bridges->peers[below] = bridges->peers[below - 1];
         }
       bridges->scores[rank] = score;
-      bridges->best[rank] = peer;
+      bridges->peers[rank] = peer;
       return;
     }
 }
 
-/* Bridges of equal rank tell each other. */
+/* Adds the bridges of the other domains that have the rank of this member in its own. */
 static guint
 S_add_bridges (MrMembership *m, const MrMember **neighbours, guint count)
 {
@@ -151,17 +152,17 @@
   guint domain_count = 0;
   GHashTableIter iter;
   gpointer item = NULL;
-  S_rank (domains, &domain_count, &m->self.member, NULL);
+  S_rank_bridge (domains, &domain_count, &m->self.member, NULL);
   g_hash_table_iter_init (&iter, m->peers);
   while (g_hash_table_iter_next (&iter, NULL, &item))
     if (mr_member_usable (&((Peer *) item)->member))
-      S_rank (domains, &domain_count, &((Peer *) item)->member, item);
+      S_rank_bridge (domains, &domain_count, &((Peer *) item)->member, item);
   guint rank = 0;
-  while (rank < BRIDGES && domains[0].best[rank])
+  while (rank < BRIDGES && domains[0].peers[rank])
     rank++;
   for (guint i = 1; rank < BRIDGES && i < domain_count && count < MR_NEIGHBOURS_MAX; i++)
     {
-      const Peer *bridge = domains[i].best[rank] ? domains[i].best[rank] : domains[i].best[0];
+      const Peer *bridge = domains[i].peers[rank] ? domains[i].peers[rank] : domains[i].peers[0];
       neighbours[count++] = &bridge->member;
     }
   return count;
@@ -176,11 +177,11 @@
   while (g_hash_table_iter_next (&iter, NULL, &item) && count < MR_NEIGHBOURS_MAX)
     {
       const Peer *peer = item;
-      gboolean known = peer->pinged_us_at == 0 || now - peer->pinged_us_at > PINGED_LATELY ||
-                       !mr_peer_is_in_own_domain (m, peer) || !mr_peer_is_present (peer);
+      gboolean skip = peer->pinged_us_at == 0 || now - peer->pinged_us_at > RECENT_PING ||
+                      !mr_peer_is_in_own_domain (m, peer) || !mr_peer_is_present (peer);
       for (guint i = 0; i < count; i++)
-        known = known || neighbours[i] == &peer->member;
-      if (!known)
+        skip = skip || neighbours[i] == &peer->member;
+      if (!skip)
         neighbours[count++] = &peer->member;
     }
   return count;
--- a/src/membership_private.h
+++ b/src/membership_private.h
@@ -1,60 +1,61 @@
-/* Inside of membership, shared by its files:
- *   membership.c        what is heard, suspicion, time
- *   membership_links.c  who pings whom
- *   membership_updates.c   what is told to whom */
+/* Internals of the membership module, shared by its files:
+ *
+ *   membership.c          heartbeats received, failure detection, timers
+ *   membership_links.c    which members ping which
+ *   membership_updates.c  which updates are sent to which member */
 #pragma once
 
 #include "membership.h"
 
-/* The other end of a link; of a member without one only the first fields are used. */
+/* State of one known member.  Members that no link leads to use only the first fields. */
 typedef struct
 {
   MrMember member;
   MrTime changed_at;
-  guint64 update_seq;        /* number of this change among our news */
-  guint source_hash;         /* hash of the name of who told of it */
-  guint missed_acks;         /* pings without an ack, in a row */
-  guint64 pending_ping;      /* number of the ping that is out, or 0 */
-  MrTime ping_at;            /* next ping, or when the one that is out is overdue */
-  MrTime pinged_us_at;       /* its last ping that takes news; 0: none */
-  MrTime last_heartbeat_at;  /* its last heartbeat */
-  MrTime view_differs_since; /* its view and ours; 0: they don't */
+  guint64 update_seq;        /* sequence number of the last change among the local updates */
+  guint source_hash;         /* hash of the name of the member that reported it */
+  guint missed_acks;         /* consecutive pings without an ack */
+  guint64 pending_ping;      /* id of the ping that awaits its ack, or 0 */
+  MrTime ping_at;            /* time of the next ping, or when the ack of the last one is overdue */
+  MrTime pinged_us_at;       /* when it last sent a ping that asks for updates; 0: never */
+  MrTime last_heartbeat_at;  /* when its last heartbeat arrived */
+  MrTime view_differs_since; /* since when its member digest differs from ours; 0: equal */
   MrTime full_list_sent_at;
-  /* News on the link.  Until the two have heard of each other's view there is none. */
+  /* Updates on the link; none are sent until the two members have compared views. */
   gboolean link_established;
-  gboolean has_acked; /* it has acknowledged something */
-  guint64 acked_seq;  /* of our news it has all up to this */
-  guint64 sent_seq;   /* and was told up to this at @told_at */
+  gboolean has_acked; /* it has acknowledged at least one update */
+  guint64 acked_seq;  /* it has our updates up to this number */
+  guint64 sent_seq;   /* updates sent to it, at @sent_at, go up to this number */
   MrTime sent_at;
-  guint64 received_seq; /* of its news we have all up to this; 0: none */
+  guint64 received_seq; /* we have its updates up to this number; 0: none */
 } Peer;
 
 struct _MrMembership
 {
   MrMembershipHost *host;
   Peer self;
-  GHashTable *peers; /* name -> Peer, without self */
+  GHashTable *peers; /* name -> Peer, without the local member */
   GArray *seeds;     /* MrMember */
   GRand *random;
   guint64 last_ping_id;
   guint64 last_update_seq;
-  guint64 last_urgent_seq; /* number of the latest news that doesn't wait for the next ping */
+  guint64 last_urgent_seq; /* number of the latest update that is sent ahead of the next ping */
   guint64 registry_digest;
-  guint64 members_digest; /* of the present members; 0: to be computed */
+  guint64 members_digest; /* of the present members; 0: must be recomputed */
   MrTime join_at;
-  MrTime request_list_at; /* when to ask for all members, until one has answered */
-  MrTime ask_seed_at;     /* when to ask a seed again after the start */
-  guint seed_asks;        /* how often that was done */
-  MrTime first_tick_at;   /* first tick */
+  MrTime request_list_at; /* when to request the full list, until one has arrived */
+  MrTime seed_query_at;   /* when to query a seed again after the start */
+  guint seed_query_count; /* number of these queries */
+  MrTime first_tick_at;
   MrTime last_tick_at;
   MrTime full_list_sent_at;
   gboolean joined;
-  gboolean list_received; /* somebody has told all members that it knows */
+  gboolean list_received; /* a full member list has been received */
   gboolean links_stale;
-  gboolean has_domain_rings; /* the failure domain is large enough for rings of its own */
+  gboolean has_domain_rings; /* the failure domain is large enough for its own rings */
   guint link_count;
   Peer *links[MR_RING_COUNT];
-  gboolean no_updates[MR_RING_COUNT]; /* pings that carry no news */
+  gboolean no_updates[MR_RING_COUNT]; /* pings on this link carry no updates */
 };
 
 static inline gboolean
@@ -71,26 +72,26 @@
 
 void mr_membership_refresh_links (MrMembership *m);
 
-/* Digest of the present members; equal in two views that hold the same. */
+/* Returns a digest of the present members; equal views have equal digests. */
 guint64 mr_membership_members_digest (MrMembership *m);
 
-/* A heartbeat of @peer has come. */
+/* Processes the update acknowledgements in a heartbeat from @peer. */
 void
 mr_updates_on_heartbeat (MrMembership *m, MrTime now, Peer *peer, const MrHeartbeat *heartbeat);
 
-/* Forgets what the process before the present one of @peer was told. */
+/* Resets the update state of the link, as after a restart of @peer. */
 void mr_updates_reset_link (Peer *peer);
 
-/* Fills in what @heartbeat tells @peer; room for MR_UPDATES_MAX updates, of which the
- * first may hold what is known here of @peer itself. */
+/* Adds the updates for @peer to @heartbeat, which has room for MR_HEARTBEAT_UPDATES_MAX.  The
+ * first may already hold the local record of @peer itself. */
 void mr_updates_fill (MrMembership *m, MrTime now, Peer *peer, MrHeartbeat *heartbeat);
 
-/* TRUE if @peer is to be told something now, ahead of its next ping; lowers @next to
- * when it will be. */
+/* Returns TRUE if urgent updates for @peer are due ahead of its next ping; otherwise lowers
+ * @next to the time when they will be. */
 gboolean mr_updates_urgent_due (const MrMembership *m, MrTime now, const Peer *peer, MrTime *next);
 
-/* Fills in some members, those of the failure domain of @asker first. */
+/* Adds a sample of members, those in the failure domain of @asker first. */
 void mr_updates_fill_sample (const MrMembership *m, const MrMember *asker, MrHeartbeat *heartbeat);
 
-/* Fills in every member; @heartbeat's updates are then the caller's to free. */
+/* Adds all members.  The caller frees @heartbeat's updates. */
 void mr_updates_fill_all (const MrMembership *m, MrHeartbeat *heartbeat);
--- a/src/membership_updates.c
+++ b/src/membership_updates.c
@@ -2,24 +2,25 @@
 
 #include <xxhash.h>
 
-/* News that was sent is taken to be under way for this long; then it is sent anew. */
-static const MrTime UNDER_WAY = 500 * MR_MS;
-/* Who has said nothing for this long is told anew from where views differ. */
-static const MrTime OUT_OF_TOUCH = 5 * MR_SECOND;
-/* Two whose views are the same may yet differ in states that changed this lately: in a
- * cut that ends before either is called dead, 6.5 s after its begin. */
-static const MrTime LATELY = 8 * MR_SECOND;
-/* Between two heartbeats on a link that has more to tell, or something urgent.  A
- * fleet of 295 that starts together agrees on its members in under two seconds. */
-static const MrTime NEWS_GAP = 100 * MR_MS;
+/* Sent updates are assumed to be in transit for this long before they are sent again. */
+static const MrTime IN_TRANSIT_TIME = 500 * MR_MS;
+/* After silence of this length the update state of a link is reset, and updates are resent if
+ * the views differ. */
+static const MrTime SILENCE_MAX = 5 * MR_SECOND;
+/* Members with equal digests may still differ in states that changed within this time, as
+ * after a partition that ends before either side is declared dead, 6.5 s after it began. */
+static const MrTime RECENT_CHANGE = 8 * MR_SECOND;
+/* Minimum time between two heartbeats on a link with urgent or remaining updates.  A fleet of
+ * 295 that starts together agrees on its members in under two seconds. */
+static const MrTime URGENT_INTERVAL = 100 * MR_MS;
 
 enum
 {
-  /* Members that a seed names to one that starts.  All that start together ask the
-   * same three seeds, so that each answer has to be small; the asker goes on to one
-   * of those that were named. */
-  SOME_NEAR = 8, /* of its own failure domain */
-  SOME_STRONG = 16,
+  /* Members that a seed returns to a starting member.  All that start together query the same
+   * three seeds, so each answer must be small; the asker continues with one of the members
+   * named. */
+  SAMPLE_NEAR = 8, /* in the asker's failure domain */
+  SAMPLE_STRONGEST = 16,
 };
 
 static guint64
@@ -44,21 +45,21 @@
   return digest;
 }
 
-/* Number of the last news before LATELY. */
+/* Returns the highest update number below all changes of the last RECENT_CHANGE. */
 static guint64
-S_settled (const MrMembership *m, MrTime now)
+S_settled_seq (const MrMembership *m, MrTime now)
 {
-  guint64 settled = m->last_update_seq;
+  guint64 settled_seq = m->last_update_seq;
   GHashTableIter iter;
   gpointer item = NULL;
   g_hash_table_iter_init (&iter, m->peers);
   while (g_hash_table_iter_next (&iter, NULL, &item))
     {
       const Peer *peer = item;
-      if (now - peer->changed_at < LATELY)
-        settled = MIN (settled, peer->update_seq - 1);
+      if (now - peer->changed_at < RECENT_CHANGE)
+        settled_seq = MIN (settled_seq, peer->update_seq - 1);
     }
-  return settled;
+  return settled_seq;
 }
 
 void
@@ -75,24 +76,25 @@
 void
 mr_updates_on_heartbeat (MrMembership *m, MrTime now, Peer *peer, const MrHeartbeat *heartbeat)
 {
-  if (now - peer->last_heartbeat_at > OUT_OF_TOUCH)
+  if (now - peer->last_heartbeat_at > SILENCE_MAX)
     mr_updates_reset_link (peer);
   peer->last_heartbeat_at = now;
   if (!peer->link_established)
     {
-      /* A member is told of all that it may lack, 20 kB in a fleet of 295, only if
-       * its view differs; that of one that has asked for the list does not. */
+      /* A member is sent everything that it may lack, 20 kB in a fleet of 295, only if its
+       * view differs.  The view of a member that has requested the full list does not. */
       peer->link_established = TRUE;
-      peer->acked_seq =
-          heartbeat->members_digest == mr_membership_members_digest (m) ? S_settled (m, now) : 0;
+      peer->acked_seq = heartbeat->members_digest == mr_membership_members_digest (m)
+                            ? S_settled_seq (m, now)
+                            : 0;
       peer->sent_seq = peer->acked_seq;
     }
-  /* What comes after a gap is taken, but not acknowledged, so that its sender tells
-   * anew what was lost. */
+  /* Updates after a gap are applied but not acknowledged, so that the sender repeats the lost
+   * ones. */
   if (heartbeat->updates_upto != 0 &&
       (peer->received_seq == 0 || heartbeat->updates_after <= peer->received_seq))
     peer->received_seq = MAX (peer->received_seq, heartbeat->updates_upto);
-  /* A number that is none of ours was meant for the process before. */
+  /* A number that was never issued here acknowledges updates of the previous process. */
   if (heartbeat->updates_acked > peer->acked_seq && heartbeat->updates_acked <= m->last_update_seq)
     {
       peer->acked_seq = heartbeat->updates_acked;
@@ -100,62 +102,64 @@
     }
 }
 
+/* Returns the number above which updates are to be sent to @peer: all below have been
+ * acknowledged or are in transit. */
 static guint64
-S_begin (MrTime now, const Peer *peer)
+S_sent_upto (MrTime now, const Peer *peer)
 {
-  gboolean under_way = peer->has_acked && now - peer->sent_at < UNDER_WAY;
-  return under_way ? MAX (peer->sent_seq, peer->acked_seq) : peer->acked_seq;
+  gboolean in_transit = peer->has_acked && now - peer->sent_at < IN_TRANSIT_TIME;
+  return in_transit ? MAX (peer->sent_seq, peer->acked_seq) : peer->acked_seq;
 }
 
-/* What others say of @peer is for @peer to refute, or it would be removed while it
- * works. */
+/* Returns TRUE if @peer must receive its own record.  It has to refute a suspicion, or it would
+ * be removed while it works. */
 static gboolean
-S_is_accused (const Peer *peer)
+S_must_refute (const Peer *peer)
 {
   return peer->member.state == MR_MEMBER_SUSPECT || !mr_peer_is_present (peer);
 }
 
 static gboolean
-S_is_for (const Peer *news, const Peer *peer, guint64 begin)
+S_is_due_for (const Peer *changed, const Peer *peer, guint64 after_seq)
 {
-  return news->update_seq > begin && news != peer &&
-         news->source_hash != g_str_hash (peer->member.name);
+  return changed->update_seq > after_seq && changed != peer &&
+         changed->source_hash != g_str_hash (peer->member.name);
 }
 
 void
 mr_updates_fill (MrMembership *m, MrTime now, Peer *peer, MrHeartbeat *heartbeat)
 {
   const Peer *picked[MR_HEARTBEAT_UPDATES_MAX];
-  guint room = MR_HEARTBEAT_UPDATES_MAX - 1; /* one is for what is said of the receiver */
+  guint limit = MR_HEARTBEAT_UPDATES_MAX - 1; /* one is reserved for the record of the receiver */
   guint count = 0;
   gboolean more = FALSE;
-  gboolean contradicts = heartbeat->update_count > 0;
-  guint64 begin = S_begin (now, peer);
+  gboolean has_receiver = heartbeat->update_count > 0;
+  guint64 after_seq = S_sent_upto (now, peer);
   GHashTableIter iter;
   gpointer item = NULL;
   g_hash_table_iter_init (&iter, m->peers);
   while (peer->link_established && g_hash_table_iter_next (&iter, NULL, &item))
     {
-      const Peer *news = item;
-      if (!S_is_for (news, peer, begin))
+      const Peer *changed = item;
+      if (!S_is_due_for (changed, peer, after_seq))
         continue;
       guint place = count;
-      while (place > 0 && news->update_seq < picked[place - 1]->update_seq)
+      while (place > 0 && changed->update_seq < picked[place - 1]->update_seq)
         place--;
-      more = more || count == room;
-      if (place == room)
+      more = more || count == limit;
+      if (place == limit)
         continue;
-      count = MIN (count + 1, room);
+      count = MIN (count + 1, limit);
       memmove (&picked[place + 1], &picked[place], (count - 1 - place) * sizeof *picked);
-      picked[place] = news;
+      picked[place] = changed;
     }
   for (guint i = 0; i < count; i++)
     heartbeat->updates[heartbeat->update_count++] = picked[i]->member;
-  if (!contradicts && S_is_accused (peer))
+  if (!has_receiver && S_must_refute (peer))
     heartbeat->updates[heartbeat->update_count++] = peer->member;
   if (!peer->link_established)
     return;
-  heartbeat->updates_after = begin;
+  heartbeat->updates_after = after_seq;
   heartbeat->updates_upto = more ? picked[count - 1]->update_seq : m->last_update_seq;
   peer->sent_seq = heartbeat->updates_upto;
   peer->sent_at = now;
@@ -164,17 +168,17 @@
 gboolean
 mr_updates_urgent_due (const MrMembership *m, MrTime now, const Peer *peer, MrTime *next)
 {
-  if (!peer->link_established || S_begin (now, peer) >= m->last_urgent_seq)
+  if (!peer->link_established || S_sent_upto (now, peer) >= m->last_urgent_seq)
     return FALSE;
-  MrTime due = peer->sent_at + NEWS_GAP;
+  MrTime due = peer->sent_at + URGENT_INTERVAL;
   *next = MIN (*next, MAX (due, now));
   return now >= due;
 }
 
-/* Adds @most members of the asker's failure domain; which ones, chance decides, so
- * that askers spread over them. */
+/* Adds up to @limit members in the asker's failure domain, chosen at random so that askers
+ * spread over them. */
 static void
-S_add_near (const MrMembership *m, const MrMember *asker, guint most, MrHeartbeat *heartbeat)
+S_add_near (const MrMembership *m, const MrMember *asker, guint limit, MrHeartbeat *heartbeat)
 {
   gint32 seen = 0;
   GHashTableIter iter;
@@ -187,9 +191,9 @@
           g_str_equal (peer->member.name, asker->name))
         continue;
       guint place = (guint) g_rand_int_range (m->random, 0, ++seen);
-      if (heartbeat->update_count < most)
+      if (heartbeat->update_count < limit)
         heartbeat->updates[heartbeat->update_count++] = peer->member;
-      else if (place < most)
+      else if (place < limit)
         heartbeat->updates[place] = peer->member;
     }
 }
@@ -202,11 +206,11 @@
   return a->busy < b->busy;
 }
 
-/* Adds the @most members that callers are most likely to be sent to.  One that starts
- * is asked for addresses at once; knowing its neighbours only, it would send callers
- * to VMs that a wide search takes a quarter of a second on. */
+/* Adds up to @limit members that callers are most likely to be sent to.  A starting daemon is
+ * queried for addresses immediately; if it knew only its neighbours it would send callers to
+ * VMs on which a wide search takes a quarter of a second. */
 static void
-S_add_strongest (const MrMembership *m, guint most, MrHeartbeat *heartbeat)
+S_add_strongest (const MrMembership *m, guint limit, MrHeartbeat *heartbeat)
 {
   MrMember *first = &heartbeat->updates[heartbeat->update_count];
   guint count = 0;
@@ -221,9 +225,9 @@
       guint place = count;
       while (place > 0 && S_is_stronger (&peer->member, &first[place - 1]))
         place--;
-      if (place == most)
+      if (place == limit)
         continue;
-      count = MIN (count + 1, most);
+      count = MIN (count + 1, limit);
       memmove (&first[place + 1], &first[place], (count - 1 - place) * sizeof *first);
       first[place] = peer->member;
     }
@@ -233,8 +237,8 @@
 void
 mr_updates_fill_sample (const MrMembership *m, const MrMember *asker, MrHeartbeat *heartbeat)
 {
-  S_add_near (m, asker, heartbeat->update_count + SOME_NEAR, heartbeat);
-  S_add_strongest (m, SOME_STRONG, heartbeat);
+  S_add_near (m, asker, heartbeat->update_count + SAMPLE_NEAR, heartbeat);
+  S_add_strongest (m, SAMPLE_STRONGEST, heartbeat);
 }
 
 void
