--- a/src/roster.c
+++ b/src/roster.c
@@ -9,9 +9,9 @@
   MrMember member;
   guint64 score;
   Domain *domain;
-  guint index;              /* among all */
-  GSequenceIter *ranked;    /* NULL: not usable */
-  GSequenceIter *candidate; /* NULL: in no group */
+  guint all_index;               /* in MrRoster.all */
+  GSequenceIter *rank_position;  /* NULL: not usable */
+  GSequenceIter *group_position; /* NULL: in no group */
   MrRosterGroup group;
 } Entry;
 
@@ -19,8 +19,8 @@
 {
   char *name;
   guint alive;
-  guint reaching;
-  GSequence *ranked; /* Entry, usable */
+  guint platform_reachable;
+  GSequence *by_score; /* Entry; usable members only */
   GSequence *groups[MR_ROSTER_GROUP_COUNT];
 };
 
@@ -29,11 +29,11 @@
   GHashTable *entries; /* name -> Entry */
   GPtrArray *all;      /* Entry, borrowed */
   GPtrArray *domains;
-  guint known; /* members that were new when they were put in */
-  guint usable;
-  guint64 load;
+  guint added_count; /* members ever added */
+  guint usable_count;
+  guint64 total_load;
   guint group_sizes[MR_ROSTER_GROUP_COUNT];
-  guint64 steps;
+  guint64 work_count;
 };
 
 guint64
@@ -43,26 +43,26 @@
 }
 
 static int
-S_by_score (gconstpointer a, gconstpointer b, gpointer user)
+S_compare_scores (gconstpointer a, gconstpointer b, gpointer user)
 {
   const Entry *x = a;
   const Entry *y = b;
   MrRoster *roster = user;
-  roster->steps++;
+  roster->work_count++;
   return x->score > y->score ? -1 : x->score < y->score;
 }
 
 static int
-S_best_first (gconstpointer a, gconstpointer b, gpointer user)
+S_compare_fitness (gconstpointer a, gconstpointer b, gpointer user)
 {
   guint x = g_bit_storage (((const Entry *) a)->member.capacity);
   guint y = g_bit_storage (((const Entry *) b)->member.capacity);
   if (x != y)
     {
-      ((MrRoster *) user)->steps++;
+      ((MrRoster *) user)->work_count++;
       return x > y ? -1 : 1;
     }
-  return S_by_score (a, b, user);
+  return S_compare_scores (a, b, user);
 }
 
 static void
@@ -71,7 +71,7 @@
   Domain *domain = data;
   for (int group = 0; group < MR_ROSTER_GROUP_COUNT; group++)
     g_sequence_free (domain->groups[group]);
-  g_sequence_free (domain->ranked);
+  g_sequence_free (domain->by_score);
   g_free (domain->name);
   g_free (domain);
 }
@@ -113,14 +113,14 @@
 }
 
 static Domain *
-S_domain (MrRoster *roster, const char *name)
+S_get_domain (MrRoster *roster, const char *name)
 {
   Domain *domain = S_domain_at (roster, mr_roster_domain_index (roster, name));
   if (domain)
     return domain;
   domain = g_new0 (Domain, 1);
   domain->name = g_strdup (name);
-  domain->ranked = g_sequence_new (NULL);
+  domain->by_score = g_sequence_new (NULL);
   for (int group = 0; group < MR_ROSTER_GROUP_COUNT; group++)
     domain->groups[group] = g_sequence_new (NULL);
   g_ptr_array_add (roster->domains, domain);
@@ -128,14 +128,14 @@
 }
 
 static gboolean
-S_reaches (const MrMember *member)
+S_reaches_platform (const MrMember *member)
 {
   return member->state == MR_MEMBER_ALIVE && !member->platform_unreachable;
 }
 
-/* FALSE: in none. */
+/* Returns FALSE if the member is in no group. */
 static gboolean
-S_group (const MrMember *member, MrRosterGroup *group)
+S_group_of (const MrMember *member, MrRosterGroup *group)
 {
   if (member->state == MR_MEMBER_ALIVE)
     *group = member->busy ? MR_ROSTER_STARTING : MR_ROSTER_READY;
@@ -146,24 +146,25 @@
   return TRUE;
 }
 
-/* Takes @entry out of the orders; what they depend on may change then. */
+/* Removes @entry from the sorted sequences; must precede a change of the fields that they are
+ * sorted by. */
 static void
 S_unlink (MrRoster *roster, Entry *entry)
 {
   Domain *domain = entry->domain;
   domain->alive -= entry->member.state == MR_MEMBER_ALIVE;
-  domain->reaching -= S_reaches (&entry->member);
-  if (entry->ranked)
+  domain->platform_reachable -= S_reaches_platform (&entry->member);
+  if (entry->rank_position)
     {
-      g_sequence_remove (entry->ranked);
-      entry->ranked = NULL;
-      roster->usable--;
-      roster->load -= entry->member.load;
+      g_sequence_remove (entry->rank_position);
+      entry->rank_position = NULL;
+      roster->usable_count--;
+      roster->total_load -= entry->member.load;
     }
-  if (entry->candidate)
+  if (entry->group_position)
     {
-      g_sequence_remove (entry->candidate);
-      entry->candidate = NULL;
+      g_sequence_remove (entry->group_position);
+      entry->group_position = NULL;
       roster->group_sizes[entry->group]--;
     }
 }
@@ -172,20 +173,21 @@
 S_link (MrRoster *roster, Entry *entry)
 {
   const MrMember *member = &entry->member;
-  Domain *domain = S_domain (roster, member->domain);
+  Domain *domain = S_get_domain (roster, member->domain);
   entry->domain = domain;
   domain->alive += member->state == MR_MEMBER_ALIVE;
-  domain->reaching += S_reaches (member);
+  domain->platform_reachable += S_reaches_platform (member);
   if (mr_member_usable (member))
     {
-      entry->ranked = g_sequence_insert_sorted (domain->ranked, entry, S_by_score, roster);
-      roster->usable++;
-      roster->load += member->load;
+      entry->rank_position =
+          g_sequence_insert_sorted (domain->by_score, entry, S_compare_scores, roster);
+      roster->usable_count++;
+      roster->total_load += member->load;
     }
-  if (S_group (member, &entry->group))
+  if (S_group_of (member, &entry->group))
     {
-      entry->candidate =
-          g_sequence_insert_sorted (domain->groups[entry->group], entry, S_best_first, roster);
+      entry->group_position =
+          g_sequence_insert_sorted (domain->groups[entry->group], entry, S_compare_fitness, roster);
       roster->group_sizes[entry->group]++;
     }
 }
@@ -195,8 +197,8 @@
 {
   S_unlink (roster, entry);
   Entry *last = g_ptr_array_index (roster->all, roster->all->len - 1);
-  last->index = entry->index;
-  g_ptr_array_remove_index_fast (roster->all, entry->index);
+  last->all_index = entry->all_index;
+  g_ptr_array_remove_index_fast (roster->all, entry->all_index);
   g_hash_table_remove (roster->entries, entry->member.name);
 }
 
@@ -204,8 +206,8 @@
 mr_roster_put (MrRoster *roster, const MrMember *member)
 {
   Entry *entry = g_hash_table_lookup (roster->entries, member->name);
-  roster->steps++;
-  roster->known += entry ? 0 : 1;
+  roster->work_count++;
+  roster->added_count += entry ? 0 : 1;
   if (member->state >= MR_MEMBER_LEFT)
     {
       if (entry)
@@ -222,7 +224,7 @@
       entry = g_new0 (Entry, 1);
       entry->member = *member;
       entry->score = mr_roster_score (member->name);
-      entry->index = roster->all->len;
+      entry->all_index = roster->all->len;
       g_ptr_array_add (roster->all, entry);
       g_hash_table_insert (roster->entries, entry->member.name, entry);
     }
@@ -245,7 +247,7 @@
 gboolean
 mr_roster_has_known_others (const MrRoster *roster)
 {
-  return roster->known > 1;
+  return roster->added_count > 1;
 }
 
 const MrMember *
@@ -257,13 +259,13 @@
 guint
 mr_roster_usable_count (const MrRoster *roster)
 {
-  return roster->usable;
+  return roster->usable_count;
 }
 
 guint64
 mr_roster_total_load (const MrRoster *roster)
 {
-  return roster->load;
+  return roster->total_load;
 }
 
 guint
@@ -273,24 +275,24 @@
 }
 
 static const Entry *
-S_nth (const MrRoster *roster, GSequence *order, guint place)
+S_nth (const MrRoster *roster, GSequence *order, guint position)
 {
-  ((MrRoster *) roster)->steps++;
-  GSequenceIter *at = g_sequence_get_iter_at_pos (order, (int) place);
+  ((MrRoster *) roster)->work_count++;
+  GSequenceIter *at = g_sequence_get_iter_at_pos (order, (int) position);
   return g_sequence_iter_is_end (at) ? NULL : g_sequence_get (at);
 }
 
 void
 mr_roster_add_nth_per_domain (const MrRoster *roster,
                               MrRosterGroup group,
-                              guint turn,
-                              GPtrArray *row)
+                              guint position,
+                              GPtrArray *members)
 {
   for (guint i = 0; i < roster->domains->len; i++)
     {
-      const Entry *entry = S_nth (roster, S_domain_at (roster, i)->groups[group], turn);
+      const Entry *entry = S_nth (roster, S_domain_at (roster, i)->groups[group], position);
       if (entry)
-        g_ptr_array_add (row, (gpointer) &entry->member);
+        g_ptr_array_add (members, (gpointer) &entry->member);
     }
 }
 
@@ -317,14 +319,14 @@
 mr_roster_domain_platform_reachable (const MrRoster *roster, guint domain)
 {
   const Domain *found = S_domain_at (roster, domain);
-  return found ? found->reaching : 0;
+  return found ? found->platform_reachable : 0;
 }
 
 const MrMember *
-mr_roster_at_rank (const MrRoster *roster, guint domain, guint place)
+mr_roster_at_rank (const MrRoster *roster, guint domain, guint rank)
 {
   const Domain *found = S_domain_at (roster, domain);
-  const Entry *entry = found ? S_nth (roster, found->ranked, place) : NULL;
+  const Entry *entry = found ? S_nth (roster, found->by_score, rank) : NULL;
   return entry ? &entry->member : NULL;
 }
 
@@ -333,17 +335,18 @@
 {
   const Domain *found = S_domain_at (roster, domain);
   Entry key = { .score = mr_roster_score (name) };
-  const Entry *held = g_hash_table_lookup (roster->entries, name);
+  const Entry *known = g_hash_table_lookup (roster->entries, name);
   if (!found)
     return 0;
-  if (held && held->ranked && held->domain == found)
-    return (guint) g_sequence_iter_get_position (held->ranked);
-  GSequenceIter *at = g_sequence_search (found->ranked, &key, S_by_score, (gpointer) roster);
+  if (known && known->rank_position && known->domain == found)
+    return (guint) g_sequence_iter_get_position (known->rank_position);
+  GSequenceIter *at =
+      g_sequence_search (found->by_score, &key, S_compare_scores, (gpointer) roster);
   return (guint) g_sequence_iter_get_position (at);
 }
 
 guint64
 mr_roster_work_count (const MrRoster *roster)
 {
-  return roster->steps;
+  return roster->work_count;
 }
--- a/src/roster.h
+++ b/src/roster.h
@@ -1,64 +1,66 @@
-/* Members in the orders in which decisions look at them, kept as they change: by
- * failure domain, and in each by fitness for callers and by rank for watches.
+/* Index of the members, updated incrementally: by failure domain, and within each domain by
+ * suitability for callers and by rendezvous hash.
  *
- * A change of one member costs the logarithm of their number, and a decision the few
- * members that it names, so that neither grows with the fleet. */
+ * A change of one member costs the logarithm of their number, and a decision costs only the
+ * few members that it selects, so neither grows with the fleet. */
 #pragma once
 
 #include "member.h"
 
 typedef struct _MrRoster MrRoster;
 
-/* Members that may be named to callers, the fitter groups first. */
+/* Groups of members that may be named to callers, the most suitable first. */
 typedef enum
 {
-  MR_ROSTER_READY,    /* alive, and take callers */
-  MR_ROSTER_SUSPECT,  /* miss heartbeats */
-  MR_ROSTER_STARTING, /* alive, not ready */
+  MR_ROSTER_READY,    /* alive and accepting callers */
+  MR_ROSTER_SUSPECT,  /* missing heartbeats */
+  MR_ROSTER_STARTING, /* alive but not ready */
   MR_ROSTER_GROUP_COUNT,
 } MrRosterGroup;
 
 MrRoster *mr_roster_new (void);
 void mr_roster_free (MrRoster *roster);
 
-/* Takes @member in as it is now, or out if it has left or is dead. */
+/* Adds or updates @member; removes it if it has left or is dead. */
 void mr_roster_put (MrRoster *roster, const MrMember *member);
 
-/* Borrowed until the member changes; NULL: not held. */
+/* Returns NULL if there is none; valid until the member changes. */
 const MrMember *mr_roster_find (const MrRoster *roster, const char *name);
 guint mr_roster_count (const MrRoster *roster);
-/* TRUE once a second member was put in, whatever has become of it. */
+/* Returns TRUE once a second member has been added, even if it was removed since. */
 gboolean mr_roster_has_known_others (const MrRoster *roster);
-/* In no order that means anything; @index under the count. */
+/* Returns the member at @index, which must be below the count; the order is arbitrary. */
 const MrMember *mr_roster_at (const MrRoster *roster, guint index);
 
-/* Members that may be handed work, and what requests take of their processors, in
+/* Number of members that may be given work, and the CPU that their requests use, in
  * thousandths of a core. */
 guint mr_roster_usable_count (const MrRoster *roster);
 guint64 mr_roster_total_load (const MrRoster *roster);
 
 guint mr_roster_group_size (const MrRoster *roster, MrRosterGroup group);
-/* Adds to @row (borrowed MrMember) the member of @group in place @turn of each failure
- * domain: the larger VMs first, in classes of a factor of two, then by hash. */
+/* Appends to @members (borrowed MrMember) the member at @position of @group in each
+ * failure domain.  Within a domain larger VMs come first, in classes of a factor of two, then the
+ * order is by hash. */
 void mr_roster_add_nth_per_domain (const MrRoster *roster,
                                    MrRosterGroup group,
-                                   guint turn,
-                                   GPtrArray *row);
+                                   guint position,
+                                   GPtrArray *members);
 
-/* Failure domains are numbered from 0. */
+/* Failure domains have indices from 0. */
 guint mr_roster_domain_count (const MrRoster *roster);
 const char *mr_roster_domain_name (const MrRoster *roster, guint domain);
-/* Members there that are alive, and of them those that reach the platform. */
+/* Number of alive members in the domain, and of those that also reach the platform. */
 guint mr_roster_domain_alive (const MrRoster *roster, guint domain);
 guint mr_roster_domain_platform_reachable (const MrRoster *roster, guint domain);
-/* Number of the failure domain @name, or the count of domains if nobody was there yet. */
+/* Returns the index of the failure domain @name, or the domain count if it has never had
+ * members. */
 guint mr_roster_domain_index (const MrRoster *roster, const char *name);
-/* The usable member in @place of that domain's ranking by hash; NULL: so many are not there. */
-const MrMember *mr_roster_at_rank (const MrRoster *roster, guint domain, guint place);
-/* Usable members of that domain whose rank is above that of a member called @name. */
+/* Returns the usable member at @rank in the domain's order by hash; NULL if there are fewer. */
+const MrMember *mr_roster_at_rank (const MrRoster *roster, guint domain, guint rank);
+/* Returns the number of usable members of the domain that rank above a member called @name. */
 guint mr_roster_rank (const MrRoster *roster, guint domain, const char *name);
-/* What members are ranked by, from their names. */
+/* Returns the rendezvous hash of a member name; higher ranks first. */
 guint64 mr_roster_score (const char *name);
 
-/* Members looked at or moved by all calls since the start. */
+/* Number of members examined or moved by all calls so far, as a measure of cost. */
 guint64 mr_roster_work_count (const MrRoster *roster);
--- a/src/watch.c
+++ b/src/watch.c
@@ -1,18 +1,20 @@
 #include "watch.h"
 
-static const MrTime GAP_FIRST = 200 * MR_MS;
-/* Few daemons watch, so their retries cost the store little, and a change that
- * it accepts right after an outage has to be known within a few seconds. */
-static const MrTime GAP_MAX = 1 * MR_SECOND;
-/* Reads of those that do not watch. */
-static const MrTime READ_GAP = 180 * MR_SECOND;
-/* Members of a failure domain that can't reach the platform and that another watches for.
- * With more it is the platform that is down: the duty went on to each of 295 in turn, and
- * all of them asked until it was back, 3,800 calls in an outage of 6 s. */
-static const guint PASSED_OVER_MOST = 2;
+static const MrTime RETRY_DELAY_MIN = 200 * MR_MS;
+/* Few daemons watch, so their retries cost the store little, and a change that it accepts
+ * right after an outage has to be known within a few seconds. */
+static const MrTime RETRY_DELAY_MAX = 1 * MR_SECOND;
+/* Interval between reads of daemons that do not watch. */
+static const MrTime READ_INTERVAL = 180 * MR_SECOND;
+/* Members of a failure domain that can't reach the platform and are skipped as watchers.  If
+ * there are more, the platform itself is down.  Without this limit the role moved on to each of
+ * 295 daemons in turn, and all of them called until it was back: 3,800 calls in an outage of
+ * 6 s. */
+static const guint SKIPPED_MAX = 2;
+
 enum
 {
-  READERS_AT_ONCE = 8 /* that many read once in READ_GAP, however many there are */
+  READERS_PER_INTERVAL = 8 /* daemons that read once per interval, regardless of fleet size */
 };
 
 guint
@@ -22,9 +24,9 @@
   return own ? mr_roster_rank (roster, mr_roster_domain_index (roster, own->domain), self) : 0;
 }
 
-/* How many members of a failure domain are to watch. */
+/* Returns the number of watchers for each failure domain. */
 static guint
-S_watchers_each (const MrRoster *roster)
+S_watchers_per_domain (const MrRoster *roster)
 {
   guint count = 0;
   for (guint i = 0; i < mr_roster_domain_count (roster); i++)
@@ -32,31 +34,31 @@
   return (MR_RELAY_WATCHERS_MIN + MAX (count, 1) - 1) / MAX (count, 1);
 }
 
-/* Members of a failure domain that rank above one. */
+/* Members of a failure domain that rank above a given one. */
 typedef struct
 {
-  guint before;      /* alive, reach the platform */
-  guint passed_over; /* alive, do not */
-} Ahead;
+  guint reachable; /* alive and reach the platform */
+  guint skipped;   /* alive but don't reach it */
+} RankedAbove;
 
-/* Counts those of @domain that rank above @own, up to @most and the bound on those passed
- * over. */
-static Ahead
-S_ahead (const MrRoster *roster, guint domain, const MrMember *own, guint most)
+/* Counts the members of @domain that rank above @own, up to @limit and to the limit of skipped
+ * members. */
+static RankedAbove
+S_count_above (const MrRoster *roster, guint domain, const MrMember *own, guint limit)
 {
-  Ahead ahead = { 0 };
+  RankedAbove above = { 0 };
   guint rank = mr_roster_rank (roster, domain, own->name);
-  for (guint i = 0; i < rank && ahead.before < most && ahead.passed_over <= PASSED_OVER_MOST; i++)
+  for (guint i = 0; i < rank && above.reachable < limit && above.skipped <= SKIPPED_MAX; i++)
     {
       const MrMember *member = mr_roster_at_rank (roster, domain, i);
       if (member->state != MR_MEMBER_ALIVE)
         continue;
       if (member->platform_unreachable)
-        ahead.passed_over++;
+        above.skipped++;
       else
-        ahead.before++;
+        above.reachable++;
     }
-  return ahead;
+  return above;
 }
 
 bool
@@ -65,17 +67,18 @@
   const MrMember *own = mr_roster_find (roster, self);
   if (!own)
     return true;
-  guint most = S_watchers_each (roster);
-  Ahead ahead = S_ahead (roster, mr_roster_domain_index (roster, own->domain), own, most);
-  return ahead.before < most && ahead.passed_over <= PASSED_OVER_MOST;
+  guint limit = S_watchers_per_domain (roster);
+  RankedAbove above =
+      S_count_above (roster, mr_roster_domain_index (roster, own->domain), own, limit);
+  return above.reachable < limit && above.skipped <= SKIPPED_MAX;
 }
 
-/* TRUE if a watcher of @domain that reaches the platform ranks above @score. */
+/* Returns TRUE if a watcher in @domain that reaches the platform ranks above @score. */
 static gboolean
 S_has_watcher_above (const MrRoster *roster, guint domain, guint64 score)
 {
-  guint passed_over = 0;
-  for (guint place = 0; passed_over <= PASSED_OVER_MOST; place++)
+  guint skipped = 0;
+  for (guint place = 0; skipped <= SKIPPED_MAX; place++)
     {
       const MrMember *member = mr_roster_at_rank (roster, domain, place);
       if (!member || mr_roster_score (member->name) <= score)
@@ -84,7 +87,7 @@
         continue;
       if (!member->platform_unreachable)
         return TRUE;
-      passed_over++;
+      skipped++;
     }
   return FALSE;
 }
@@ -105,7 +108,7 @@
 MrTime
 mr_watch_read_interval (guint readers)
 {
-  return READ_GAP * MAX (1, readers / READERS_AT_ONCE);
+  return READ_INTERVAL * MAX (1, readers / READERS_PER_INTERVAL);
 }
 
 guint
@@ -135,10 +138,9 @@
   watch->has_succeeded = watch->has_succeeded || success;
   if (watch->has_succeeded && !watcher)
     {
-      /* Also after a failure: a whole fleet that asks a store which is down
-       * again and again would keep it down. */
-      MrTime gap = mr_watch_read_interval (watch->reader_count);
-      watch->due = now + gap / 2 + (MrTime) (jitter * (double) gap);
+      /* Also after a failure: retries of a whole fleet would keep an overloaded store down. */
+      MrTime interval = mr_watch_read_interval (watch->reader_count);
+      watch->due = now + interval / 2 + (MrTime) (jitter * (double) interval);
       return;
     }
   if (success)
@@ -147,7 +149,7 @@
       watch->due = now + watch->call_pause;
       return;
     }
-  MrTime gap = watch->retry_delay * 2;
-  watch->retry_delay = CLAMP (gap, GAP_FIRST, GAP_MAX);
+  MrTime delay = watch->retry_delay * 2;
+  watch->retry_delay = CLAMP (delay, RETRY_DELAY_MIN, RETRY_DELAY_MAX);
   watch->due = now + watch->retry_delay / 2 + (MrTime) (jitter * (double) watch->retry_delay);
 }
--- a/src/watch.h
+++ b/src/watch.h
@@ -1,10 +1,9 @@
-/* Which daemons speak to the platform, and when.
+/* Which daemons call the platform, and when.
  *
- * A few watchers in each failure domain, picked by rendezvous hashing over the
- * members, hold the watches; everybody else reads now and then as a last
- * resort, so that the platform's calls do not grow with the fleet.  A wrong
- * view makes too many or too few watch for some seconds; the reads bound what
- * that can cost. */
+ * A few watchers in each failure domain, chosen by rendezvous hashing over the members, hold
+ * long-poll watches.  All other daemons read at long intervals as a fallback, so that the
+ * number of platform calls does not grow with the fleet.  While membership views differ, too
+ * many or too few daemons watch for some seconds; the fallback reads bound the effect. */
 #pragma once
 
 #include "clock.h"
@@ -12,51 +11,52 @@
 
 enum
 {
-  MR_WATCHERS_PER_DOMAIN = 2, /* in each failure domain */
-  /* Of relays, which tell each other at once when one is cut off: one a failure
-   * domain, and this many in all where there are fewer domains. */
+  MR_WATCHERS_PER_DOMAIN = 2, /* of daemons that are not relays */
+  /* Relays announce immediately when they lose the platform, so they need only one watcher for
+   * each failure domain, but at least this many in total if there are fewer domains. */
   MR_RELAY_WATCHERS_MIN = 3,
 };
 
-/* Place of @self among the usable members of its failure domain, from 0;
- * under MR_WATCHERS it watches. */
+/* Returns the rank of @self among the usable members of its failure domain, from 0; it watches
+ * if the rank is below MR_WATCHERS_PER_DOMAIN. */
 guint mr_watch_rank (const MrRoster *roster, const char *self);
 
-/* TRUE if a relay's @self is to hold the watches: the first of each failure
- * domain among those that reach the platform, and more where there are fewer
- * domains than MR_RELAY_WATCHERS. */
+/* Returns TRUE if the relay @self should hold the watches: the first member of each failure
+ * domain that reaches the platform, and more if there are fewer domains than
+ * MR_RELAY_WATCHERS_MIN. */
 bool mr_watch_is_relay_watcher (const MrRoster *roster, const char *self);
 
-/* TRUE if @self is the first of all that watch: the one whose watches are short, so
- * that it finds out for all when the platform does not answer them any more. */
+/* Returns TRUE if @self ranks first among all watchers.  Its watches are short, so that it
+ * detects for all when the platform stops answering them. */
 bool mr_watch_is_first_watcher (const MrRoster *roster, const char *self);
 
-/* One repeated call to the platform. */
+/* One kind of repeated call to the platform. */
 typedef struct
 {
-  guint64 since;                    /* revision that was read last */
-  guint64 listing_revision;         /* revision of the full listing under way */
-  char page_after[MR_NAME_MAX + 1]; /* of a full listing: the page to read next */
-  gboolean in_flight;               /* the call is out */
-  guint call_number;                /* begun, ever: the number of the one that counts */
-  gboolean has_succeeded;           /* it has succeeded at least once */
+  guint64 since;            /* last revision read */
+  guint64 listing_revision; /* revision of the full listing in progress */
+  /* Last name on the previous page of a full listing; "": first page. */
+  char page_after[MR_NAME_MAX + 1];
+  gboolean in_flight;     /* a call awaits its result */
+  guint call_number;      /* calls begun so far; also the number of the current call */
+  gboolean has_succeeded; /* at least one call has succeeded */
   MrTime due;
-  MrTime retry_delay; /* after a failure; doubles */
-  MrTime call_pause;  /* a watcher's, between two calls */
-  guint reader_count; /* daemons that read now and then; 0 and 1: this one alone */
+  MrTime retry_delay; /* delay after a failure; doubles */
+  MrTime call_pause;  /* of a watcher, between two calls */
+  guint reader_count; /* daemons that read at long intervals; 0 and 1: only this one */
 } MrWatch;
 
-/* Time between two reads of a daemon that does not watch, one of @readers: the
- * sum of their calls stays the same in a large fleet. */
+/* Returns the time between two reads of a daemon that does not watch, one of @readers.  The
+ * total call rate stays constant in a large fleet. */
 MrTime mr_watch_read_interval (guint readers);
 
-/* A call begins; its number. */
+/* Starts a call; returns its number. */
 guint mr_watch_begin (MrWatch *watch);
-/* The call that is out, if any, counts no more, and the next is due now. */
+/* Discards the call in progress, if any, and makes the next one due now. */
 void mr_watch_restart (MrWatch *watch);
-/* FALSE for the end of a call in whose place another has begun, or is due: were it taken for
- * that one's, there would be one call more at a time after each renewal. */
+/* Returns FALSE if @call has been discarded.  Taking its end for the end of its successor would
+ * add one concurrent call with each restart. */
 bool mr_watch_is_current (const MrWatch *watch, guint call);
 
-/* The call has ended; sets when the next is due.  @jitter: 0 to 1, random. */
+/* Ends the call and schedules the next one.  @jitter: random, 0 to 1. */
 void mr_watch_ended (MrWatch *watch, MrTime now, gboolean success, gboolean watcher, double jitter);
