--- a/src/layout.h
+++ b/src/layout.h
@@ -1,8 +1,8 @@
-/* Shard maps as the engine sees them: a set of targets for each shard, and one of
- * all targets of the map.
+/* Target sets of shard maps in the relay engine: one set for each shard of a map, and one of
+ * all its targets.
  *
- * A map is laid out when a batch first names it, and taken down once a newer one of
- * its service is in use and no batch needs it any more. */
+ * The sets of a map are created when a batch first uses the map, and removed once a newer map
+ * of the service is in use and no batch uses them. */
 #pragma once
 
 #include "batch.h"
@@ -11,27 +11,29 @@
 typedef struct _MrLayouts MrLayouts;
 typedef struct _MrLayout MrLayout;
 
-/* In place of a shard's index: any target of the map. */
+/* Used in place of a shard index for the set of all targets. */
 #define MR_ALL_SHARDS G_MAXUINT
 
-/* @relay outlives the layouts. */
+/* @relay must outlive the layouts. */
 MrLayouts *mr_layouts_new (MrRelay *relay);
 void mr_layouts_free (MrLayouts *layouts);
 
-/* Borrowed until the next mr_layouts_release () after its last batch's end. */
+/* Returns the layout of @map, creating it if needed.  Valid while a batch uses it, and after
+ * that until the next mr_layouts_remove_unused (). */
 MrLayout *mr_layouts_get (MrLayouts *layouts, MrTime now, MrShardMap *map);
-/* Takes down what no batch needs; not from within a callback of the engine, which
- * may be in the middle of one of the sets. */
+/* Removes outdated layouts that no batch uses.  Must not be called from a callback of the
+ * engine, which may be iterating over one of the sets. */
 void mr_layouts_remove_unused (MrLayouts *layouts);
-/* The target at @key ("ip:port") is listed as leaving, in use already or not. */
+/* Records whether the target at @key ("ip:port") is leaving; the target need not be in a
+ * layout yet. */
 void mr_layouts_set_leaving (MrLayouts *layouts, const char *key, gboolean leaving);
 guint mr_layouts_count (const MrLayouts *layouts);
 
-/* A batch begins to use the layout; its targets' limits become this daemon's share
- * of their slots. */
+/* Marks the layout as used by one more batch, and limits the calls to its targets to this
+ * daemon's share of their slots. */
 void mr_layout_acquire (MrLayout *layout, const MrPolicy *policy);
 void mr_layout_release (MrLayout *layout);
-/* The set of a shard, as a route names it. */
+/* Returns the set of @shard in the form that routes refer to. */
 const MrRouteService *mr_layout_shard_set (const MrLayout *layout, guint shard);
-/* The state of a target of the map. */
+/* Returns the state of the target at @index in the map. */
 MrTargetState *mr_layout_target (const MrLayout *layout, guint index);
--- a/src/view.c
+++ b/src/view.c
@@ -4,9 +4,9 @@
 
 typedef struct
 {
-  MrView view; /* first, so that a view is cast to its holder */
+  MrView view; /* first, so that an MrView can be cast to it */
   atomic_int references;
-} Holder;
+} SharedView;
 
 static void
 S_service_free (gpointer data)
@@ -19,26 +19,26 @@
 MrView *
 mr_view_new (MrMemberList *members)
 {
-  Holder *holder = g_new0 (Holder, 1);
-  atomic_init (&holder->references, 1);
-  holder->view.members = members;
-  holder->view.services = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, S_service_free);
-  holder->view.leaving_targets = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  holder->view.evacuated_domains = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  return &holder->view;
+  SharedView *shared = g_new0 (SharedView, 1);
+  atomic_init (&shared->references, 1);
+  shared->view.members = members;
+  shared->view.services = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, S_service_free);
+  shared->view.leaving_targets = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  shared->view.evacuated_domains = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  return &shared->view;
 }
 
 MrView *
 mr_view_ref (MrView *view)
 {
-  atomic_fetch_add (&((Holder *) view)->references, 1);
+  atomic_fetch_add (&((SharedView *) view)->references, 1);
   return view;
 }
 
 void
 mr_view_unref (MrView *view)
 {
-  if (!view || atomic_fetch_sub (&((Holder *) view)->references, 1) > 1)
+  if (!view || atomic_fetch_sub (&((SharedView *) view)->references, 1) > 1)
     return;
   mr_member_list_unref (view->members);
   g_hash_table_unref (view->services);
@@ -55,13 +55,16 @@
 }
 
 void
-mr_view_add_service (
-    MrView *view, const MrDocument *document, guint64 source, guint64 version, MrShardMap *map)
+mr_view_add_service (MrView *view,
+                     const MrDocument *document,
+                     guint64 document_version,
+                     guint64 accepted_version,
+                     MrShardMap *map)
 {
   MrServiceView *service = g_new0 (MrServiceView, 1);
   service->document = *document;
-  service->document_version = source;
-  service->accepted_version = version;
+  service->document_version = document_version;
+  service->accepted_version = accepted_version;
   service->map = map ? mr_shard_map_ref (map) : NULL;
   g_hash_table_replace (view->services, service->document.service, service);
 }
