--- a/test/fleet.c
+++ b/test/fleet.c
@@ -6,11 +6,11 @@
 
 enum
 {
-  TARGET_BYTES = 330, /* of a target's entry */
+  TARGET_BYTES = 330, /* of a target's object */
 };
 
 static const MrTime STEP = 1 * MR_MS;
-/* One way, with the wake-ups at both ends. */
+/* One way, including the wake-ups at both ends. */
 static const MrTime DELAY_NEAR = 1 * MR_MS;
 static const MrTime DELAY_FAR = 2 * MR_MS;
 static const MrTime READ_TIME = 15 * MR_MS;
@@ -21,10 +21,10 @@
   guint from;
   guint to;
   GString *bytes;
-} Mail;
+} Packet;
 
-#define NODE_OF_SPREAD(host)                                                                       \
-  ((FleetNode *) (void *) ((char *) (host) -offsetof (FleetNode, spread_host)))
+#define NODE_OF_REPLICATION(host)                                                                  \
+  ((FleetNode *) (void *) ((char *) (host) -offsetof (FleetNode, replication_host)))
 
 guint
 fleet_domain (const Fleet *fleet, guint index)
@@ -36,22 +36,22 @@
 }
 
 static gboolean *
-S_cut (const Fleet *fleet, guint from, guint to)
+S_link_cut (const Fleet *fleet, guint from, guint to)
 {
   return &fleet->domain_cut[from * fleet->layout.domains + to];
 }
 
-/* A link and its VM take in one message of bodies after the other. */
+/* Messages with object bodies arrive one after the other. */
 static void
-S_delay_bodies (FleetNode *to, Mail *mail)
+S_delay_bodies (FleetNode *to, Packet *packet)
 {
-  mail->at = MAX (mail->at, to->bodies_arrive_at) + to->fleet->layout.body_transfer_time;
-  to->bodies_arrive_at = mail->at;
+  packet->at = MAX (packet->at, to->bodies_arrive_at) + to->fleet->layout.body_transfer_time;
+  to->bodies_arrive_at = packet->at;
 }
 
-/* Takes @bytes. */
+/* Sends @bytes to node @to; takes ownership of them. */
 static void
-S_post (FleetNode *node, guint to, GString *bytes)
+S_send_packet (FleetNode *node, guint to, GString *bytes)
 {
   Fleet *fleet = node->fleet;
   gboolean same = fleet_domain (fleet, node->index) == fleet_domain (fleet, to);
@@ -59,8 +59,8 @@
   bytes = mr_wire_deflate (node->self.name, bytes);
   fleet->bytes[kind][same] += bytes->len;
   fleet->messages[kind][same]++;
-  Mail *mail = g_new (Mail, 1);
-  *mail = (Mail){
+  Packet *packet = g_new (Packet, 1);
+  *packet = (Packet){
     .at = fleet->now + (same ? DELAY_NEAR : DELAY_FAR),
     .from = node->index,
     .to = to,
@@ -68,22 +68,22 @@
   };
   GQueue *queue = &fleet->in_transit[same ? 0 : 1];
   if (kind == MR_TRAFFIC_OBJECTS)
-    S_delay_bodies (&fleet->nodes[to], mail);
+    S_delay_bodies (&fleet->nodes[to], packet);
   GList *place = queue->tail;
-  while (place && ((Mail *) place->data)->at > mail->at)
+  while (place && ((Packet *) place->data)->at > packet->at)
     place = place->prev;
-  g_queue_insert_after (queue, place, mail);
+  g_queue_insert_after (queue, place, packet);
 }
 
 static void
-S_on_heartbeat (MrMembershipHost *host, const MrMember *to, const MrHeartbeat *heartbeat)
+S_on_send_heartbeat (MrMembershipHost *host, const MrMember *to, const MrHeartbeat *heartbeat)
 {
   FleetNode *node = (FleetNode *) host;
-  S_post (node, (guint) to->peer_port - 1, mr_wire_heartbeat (node->self.name, heartbeat));
+  S_send_packet (node, (guint) to->peer_port - 1, mr_wire_heartbeat (node->self.name, heartbeat));
 }
 
 static void
-S_on_changed (MrMembershipHost *host, const MrMember *member)
+S_on_member_changed (MrMembershipHost *host, const MrMember *member)
 {
   FleetNode *node = (FleetNode *) host;
   mr_roster_put (node->roster, member);
@@ -92,15 +92,15 @@
 }
 
 static void
-S_on_send (MrReplicationHost *host, const char *name, GString *bytes)
+S_on_replication_send (MrReplicationHost *host, const char *name, GString *bytes)
 {
-  S_post (NODE_OF_SPREAD (host), (guint) strtoul (name + 1, NULL, 10), bytes);
+  S_send_packet (NODE_OF_REPLICATION (host), (guint) strtoul (name + 1, NULL, 10), bytes);
 }
 
 static guint
 S_on_neighbours (MrReplicationHost *host, const char **names)
 {
-  FleetNode *node = NODE_OF_SPREAD (host);
+  FleetNode *node = NODE_OF_REPLICATION (host);
   const MrMember *neighbours[MR_NEIGHBOURS_MAX];
   guint count = mr_membership_neighbours (node->membership, node->fleet->now, neighbours);
   for (guint i = 0; i < count; i++)
@@ -109,9 +109,9 @@
 }
 
 static void
-S_on_taken (MrReplicationHost *host, const MrObject *object)
+S_on_object_updated (MrReplicationHost *host, const MrObject *object)
 {
-  FleetNode *node = NODE_OF_SPREAD (host);
+  FleetNode *node = NODE_OF_REPLICATION (host);
   (void) object;
   mr_membership_set_registry_digest (node->membership, mr_registry_digest (node->registry));
 }
@@ -135,23 +135,24 @@
   Fleet *fleet = node->fleet;
   node->self.incarnation = ++fleet->last_incarnation;
   node->membership_host =
-      (MrMembershipHost){ .send = S_on_heartbeat, .member_changed = S_on_changed };
-  node->spread_host = (MrReplicationHost){
-    .send = S_on_send,
+      (MrMembershipHost){ .send = S_on_send_heartbeat, .member_changed = S_on_member_changed };
+  node->replication_host = (MrReplicationHost){
+    .send = S_on_replication_send,
     .neighbours = S_on_neighbours,
-    .updated = S_on_taken,
+    .updated = S_on_object_updated,
   };
   guint32 seed = (guint32) node->self.incarnation;
   node->membership = mr_membership_new (&node->membership_host, &node->self, seed);
   node->registry = mr_registry_new ();
-  node->spread = mr_replication_new (&node->spread_host, node->registry, node->self.name);
+  node->spread = mr_replication_new (&node->replication_host, node->registry, node->self.name);
   node->roster = mr_roster_new ();
   mr_roster_put (node->roster, &node->self);
   node->watcher = TRUE;
   S_set_seeds (node);
   g_autoptr (GRand) random = g_rand_new_with_seed (seed);
-  MrBootstrapOptions info = { .random = g_rand_double (random), .capacity = node->self.capacity };
-  mr_bootstrap_init (&node->joining, fleet->now, &info);
+  MrBootstrapOptions options = { .random = g_rand_double (random),
+                                 .capacity = node->self.capacity };
+  mr_bootstrap_init (&node->bootstrap, fleet->now, &options);
   node->start_at = MR_NEVER;
   node->due = 0;
   node->store_read_ends_at = 0;
@@ -183,20 +184,20 @@
   guint count = fleet->layout.count;
   for (guint i = 0; i < count; i++)
     {
-      guint turn = seeds_last ? count - 1 - i : (guint) ((guint64) i * 37 % count);
-      fleet_start_at (fleet, i, fleet->now + spread * turn / MAX (count - 1, 1));
+      guint position = seeds_last ? count - 1 - i : (guint) ((guint64) i * 37 % count);
+      fleet_start_at (fleet, i, fleet->now + spread * position / MAX (count - 1, 1));
     }
 }
 
-/* In thousandths of a core.  The strong are spread over the names, and so over the
- * order of starts, but the seeds are among them. */
+/* Returns the CPU in thousandths of a core.  The large VMs are spread over the names, and so
+ * over the order of starts; the seeds are among them. */
 static guint32
 S_capacity (const FleetLayout *layout, guint index)
 {
-  guint strong = layout->large_vms_per_domain * layout->domains;
-  if (strong == 0)
+  guint large_count = layout->large_vms_per_domain * layout->domains;
+  if (large_count == 0)
     return 250;
-  guint step = MAX (layout->count / strong, 1);
+  guint step = MAX (layout->count / large_count, 1);
   return index < layout->seeds || index % step == step - 1 ? 500 : 120;
 }
 
@@ -233,11 +234,11 @@
 fleet_free (Fleet *fleet)
 {
   for (int way = 0; way < 2; way++)
-    for (Mail *mail = g_queue_pop_head (&fleet->in_transit[way]); mail;
-         mail = g_queue_pop_head (&fleet->in_transit[way]))
+    for (Packet *packet = g_queue_pop_head (&fleet->in_transit[way]); packet;
+         packet = g_queue_pop_head (&fleet->in_transit[way]))
       {
-        g_string_free (mail->bytes, TRUE);
-        g_free (mail);
+        g_string_free (packet->bytes, TRUE);
+        g_free (packet);
       }
   for (guint i = 0; i < fleet->layout.count; i++)
     fleet_kill (fleet, i);
@@ -251,14 +252,14 @@
 void
 fleet_cut_one_way (Fleet *fleet, guint from, guint to, gboolean cut)
 {
-  *S_cut (fleet, from, to) = cut;
+  *S_link_cut (fleet, from, to) = cut;
 }
 
 void
 fleet_cut (Fleet *fleet, guint a, guint b, gboolean cut)
 {
-  *S_cut (fleet, a, b) = cut;
-  *S_cut (fleet, b, a) = cut;
+  *S_link_cut (fleet, a, b) = cut;
+  *S_link_cut (fleet, b, a) = cut;
 }
 
 void
@@ -286,7 +287,7 @@
   g_autofree char *name = g_strdup_printf ("i-%010x", target * 2654435761U);
   g_autoptr (GString) body = g_string_new (NULL);
   fleet->store_version += MR_VERSION_STRIDE;
-  /* Much of an entry is the same for all, as in a real one. */
+  /* As in production, much of a body is the same for all targets, so it compresses well. */
   g_string_printf (body, "{\"id\":\"%s\",\"port\":%u,\"version\":%u,\"service\":\"shard-%u\"", name,
                    8000 + target % 1000, (guint) fleet->store_version, target / 3);
   while (body->len < TARGET_BYTES - 2)
@@ -297,7 +298,7 @@
 }
 
 static void
-S_take_object (const MrObject *object, void *user)
+S_offer_object (const MrObject *object, void *user)
 {
   FleetNode *node = user;
   if (object->version > node->store_version_seen)
@@ -306,14 +307,14 @@
 }
 
 static void
-S_take_store (FleetNode *node)
+S_read_store (FleetNode *node)
 {
-  mr_registry_foreach (node->fleet->store, S_take_object, node);
+  mr_registry_foreach (node->fleet->store, S_offer_object, node);
   node->store_version_seen = node->fleet->store_version;
 }
 
 static void
-S_tick_start (FleetNode *node)
+S_tick_bootstrap (FleetNode *node)
 {
   Fleet *fleet = node->fleet;
   gboolean synced = mr_replication_is_synced (node->spread);
@@ -326,7 +327,7 @@
         .fetching = mr_replication_is_fetching (node->spread, fleet->now),
         .synced = synced,
       };
-      MrBootstrapStep step = mr_bootstrap_step (&node->joining, fleet->now, node->roster, &state);
+      MrBootstrapStep step = mr_bootstrap_step (&node->bootstrap, fleet->now, node->roster, &state);
       if (step.ask_peer)
         mr_replication_request_list (node->spread, fleet->now, step.ask_peer->name);
       if (step.read_store && !synced && reaches)
@@ -338,7 +339,7 @@
     }
   gboolean read = node->store_read_ends_at != 0 && fleet->now >= node->store_read_ends_at;
   if (read)
-    S_take_store (node);
+    S_read_store (node);
   if (read || synced)
     {
       node->ready_at = fleet->now;
@@ -357,10 +358,10 @@
   MrTime next = MIN (now + MR_SECOND, mr_membership_tick (node->membership, now));
   node->due = MIN (next, mr_replication_tick (node->spread, now));
   if (node->ready_at == 0)
-    S_tick_start (node);
+    S_tick_bootstrap (node);
 }
 
-/* The store's answer to a watch. */
+/* Delivers the store's answer to a watch. */
 static void
 S_tick_watch (FleetNode *node)
 {
@@ -370,19 +371,19 @@
       fleet->now < node->watch_at)
     return;
   node->watch_at = fleet->now + fleet->layout.watch_pause;
-  S_take_store (node);
+  S_read_store (node);
   node->due = 0;
 }
 
 static void
-S_deliver (Fleet *fleet, const Mail *mail)
+S_deliver (Fleet *fleet, const Packet *packet)
 {
-  FleetNode *node = &fleet->nodes[mail->to];
+  FleetNode *node = &fleet->nodes[packet->to];
   MrWireMessage message;
   if (!node->membership || node->frozen ||
-      *S_cut (fleet, fleet_domain (fleet, mail->from), fleet_domain (fleet, mail->to)))
+      *S_link_cut (fleet, fleet_domain (fleet, packet->from), fleet_domain (fleet, packet->to)))
     return;
-  if (mr_wire_decode (mr_text_of (mail->bytes), &message) != MR_OK)
+  if (mr_wire_decode (mr_text_of (packet->bytes), &message) != MR_OK)
     abort ();
   if (message.type == MR_WIRE_HEARTBEAT || message.type == MR_WIRE_MEMBERS)
     {
@@ -404,13 +405,13 @@
     if (!fleet->nodes[i].membership && fleet->now >= fleet->nodes[i].start_at)
       S_start (&fleet->nodes[i]);
   for (int way = 0; way < 2; way++)
-    for (Mail *mail = g_queue_peek_head (&fleet->in_transit[way]); mail && mail->at <= fleet->now;
-         mail = g_queue_peek_head (&fleet->in_transit[way]))
+    for (Packet *packet = g_queue_peek_head (&fleet->in_transit[way]);
+         packet && packet->at <= fleet->now; packet = g_queue_peek_head (&fleet->in_transit[way]))
       {
-        S_deliver (fleet, mail);
+        S_deliver (fleet, packet);
         g_queue_pop_head (&fleet->in_transit[way]);
-        g_string_free (mail->bytes, TRUE);
-        g_free (mail);
+        g_string_free (packet->bytes, TRUE);
+        g_free (packet);
       }
   for (guint i = 0; i < fleet->layout.count; i++)
     {
@@ -441,15 +442,15 @@
 }
 
 static gboolean
-S_sees_the_living (const Fleet *fleet, const FleetNode *node)
+S_sees_running_nodes (const Fleet *fleet, const FleetNode *node)
 {
   for (guint i = 0; i < fleet->layout.count; i++)
     {
       const FleetNode *other = &fleet->nodes[i];
       const MrMember *seen = mr_membership_find (node->membership, other->self.name);
-      gboolean fits = other->membership ? seen && seen->state == MR_MEMBER_ALIVE
-                                        : !seen || seen->state >= MR_MEMBER_LEFT;
-      if (other != node && !fits)
+      gboolean matches = other->membership ? seen && seen->state == MR_MEMBER_ALIVE
+                                           : !seen || seen->state >= MR_MEMBER_LEFT;
+      if (other != node && !matches)
         return FALSE;
     }
   return TRUE;
@@ -460,7 +461,7 @@
 {
   for (guint i = 0; i < fleet->layout.count; i++)
     if (fleet->nodes[i].start_at != MR_NEVER ||
-        (fleet->nodes[i].membership && !S_sees_the_living (fleet, &fleet->nodes[i])))
+        (fleet->nodes[i].membership && !S_sees_running_nodes (fleet, &fleet->nodes[i])))
       return FALSE;
   return TRUE;
 }
@@ -492,12 +493,12 @@
 }
 
 MrTime
-fleet_run_until (Fleet *fleet, gboolean (*done) (const Fleet *fleet), MrTime most)
+fleet_run_until (Fleet *fleet, gboolean (*done) (const Fleet *fleet), MrTime limit)
 {
   MrTime begin = fleet->now;
   while (!done (fleet))
     {
-      if (fleet->now - begin >= most)
+      if (fleet->now - begin >= limit)
         return MR_NEVER;
       fleet_run (fleet, 10 * MR_MS);
     }
--- a/test/prop_membership.cpp
+++ b/test/prop_membership.cpp
@@ -1,7 +1,7 @@
-// Members agree once faults end: who lives is seen as alive, who died is not.
+// Members agree once faults end: running members are seen as alive, others are not.
 //
-// The real membership module of up to 12 members over a fake wire with kills,
-// restarts, freezes, one-way cuts, a split in two, and a time of day that jumps.
+// Runs the real membership module of up to 25 members over a simulated network with kills,
+// restarts, freezes, one-way cuts, a split in two, and jumps of the time of day.
 
 #include "core.hpp"
 #include <cstdio>
@@ -16,7 +16,7 @@
 
 struct Node
 {
-  MrMembershipHost host; // first
+  MrMembershipHost host; // must be the first field
   World *world = nullptr;
   int index = 0;
   MrMembership *membership = nullptr;
@@ -32,20 +32,20 @@
   MrTime now = MR_SECOND;
   std::vector<Node> nodes;
   std::vector<std::vector<bool> > cut;
-  std::vector<gint64> clock; // time of day less the steady clock, ms
-  guint64 births = 0;
-  int lossy = 0; // of a hundred messages
-  GRand *luck = g_rand_new_with_seed (1);
+  std::vector<gint64> clock; // time of day minus steady clock, in ms
+  guint64 start_count = 0;
+  int lossy = 0; // percentage of messages lost
+  GRand *random = g_rand_new_with_seed (1);
 
-  int domains; // failure domains; of eight members and more each has rings of its own
+  int domains; // failure domains; with eight members or more each has its own rings
 
   explicit World (int count, int domains_ = 1);
   ~World ();
-  void birth (Node &n);
-  void death (Node &n);
+  void start (Node &n);
+  void stop (Node &n);
   void run (MrTime until);
   void apply (const Command &c);
-  std::string agreement ();
+  std::string find_disagreement ();
 };
 
 void
@@ -54,7 +54,7 @@
   auto *n = reinterpret_cast<Node *> (host);
   int target = to->peer_port - 1;
   if (n->world->cut[n->index][target] ||
-      g_rand_int_range (n->world->luck, 0, 100) < n->world->lossy)
+      g_rand_int_range (n->world->random, 0, 100) < n->world->lossy)
     return;
   GString *bytes = mr_wire_heartbeat (heartbeat->from.name, heartbeat);
   n->world->nodes[target].inbox.push_back (std::string (bytes->str, bytes->len));
@@ -74,7 +74,7 @@
     {
       nodes[i].world = this;
       nodes[i].index = i;
-      birth (nodes[i]);
+      start (nodes[i]);
     }
 }
 
@@ -82,24 +82,24 @@
 {
   for (auto &n : nodes)
     if (n.alive)
-      death (n);
-  g_rand_free (luck);
+      stop (n);
+  g_rand_free (random);
 }
 
 void
-World::birth (Node &n)
+World::start (Node &n)
 {
   MrMember self = {};
   g_snprintf (self.name, sizeof self.name, "d%d", n.index);
   g_strlcpy (self.ip, "10.0.0.1", sizeof self.ip);
   self.peer_port = n.index + 1;
   g_snprintf (self.domain, sizeof self.domain, "domain-%d", n.index % domains);
-  // A number from the time of day, which may have jumped, and a random one.
-  self.incarnation = ((guint64) (now / MR_MS + clock[n.index]) << 20) | ++births;
+  // From the time of day, which may have jumped, and a counter that makes it unique.
+  self.incarnation = ((guint64) (now / MR_MS + clock[n.index]) << 20) | ++start_count;
   n.host = { membership_send, membership_changed };
-  n.membership = mr_membership_new (&n.host, &self, (guint32) births);
+  n.membership = mr_membership_new (&n.host, &self, (guint32) start_count);
   std::vector<MrMember> seeds;
-  // The platform's list of VMs names them all.
+  // The platform's list of VMs names all members.
   for (size_t i = 0; i < nodes.size (); i++)
     {
       MrMember seed = {};
@@ -116,7 +116,7 @@
 }
 
 void
-World::death (Node &n)
+World::stop (Node &n)
 {
   mr_membership_free (n.membership);
   n.membership = nullptr;
@@ -158,9 +158,9 @@
     {
     case 0:
       if (n.alive)
-        death (n);
+        stop (n);
       else
-        birth (n);
+        start (n);
       break;
     case 1:
       n.frozen = n.alive && !n.frozen;
@@ -184,7 +184,7 @@
         n.busy = !n.busy;
       break;
     case 9:
-      // A domain is cut off for about as long as it takes to be suspected, or removed.
+      // Cuts off a domain for about as long as suspicion or removal takes.
       for (size_t i = 0; i < count; i++)
         for (size_t j = 0; j < count; j++)
           cut[i][j] = (i % (size_t) domains == (size_t) c.a % (size_t) domains) !=
@@ -200,7 +200,7 @@
 }
 
 std::string
-World::agreement ()
+World::find_disagreement ()
 {
   lossy = 0;
   for (auto &row : cut)
@@ -221,7 +221,7 @@
           const MrMember *seen = mr_member_list_find (list, name);
           bool usable = seen && seen->state == MR_MEMBER_ALIVE;
           if (usable && other.alive && seen->busy != other.busy)
-            wrong = "d" + std::to_string (n.index) + " holds an old word of " + name;
+            wrong = "d" + std::to_string (n.index) + " has an outdated record of " + name;
           if (usable != other.alive)
             wrong = "d" + std::to_string (n.index) + " sees " + name +
                     (usable ? " alive, but it is dead" : " not alive, but it lives");
@@ -234,7 +234,7 @@
 }
 
 std::string
-history (guint32 seed)
+run_schedule (guint32 seed)
 {
   GRand *random = g_rand_new_with_seed (seed);
   World w (3 + g_rand_int_range (random, 0, 10));
@@ -243,13 +243,13 @@
     w.apply ({ g_rand_int_range (random, 0, 8), g_rand_int_range (random, 0, 100),
                g_rand_int_range (random, 0, 100) });
   g_rand_free (random);
-  return w.agreement ();
+  return w.find_disagreement ();
 }
 
-// Two failure domains that have rings of their own, few links between them, messages
-// that are lost, and news that no digest covers: who takes callers.
+// Two failure domains with their own rings and few links between them, lost messages, and
+// updates that no digest covers (whether a member accepts callers).
 std::string
-history_of_domains (guint32 seed)
+run_schedule_in_domains (guint32 seed)
 {
   GRand *random = g_rand_new_with_seed (seed);
   World w (18 + g_rand_int_range (random, 0, 8), 2);
@@ -259,7 +259,7 @@
     w.apply ({ g_rand_int_range (random, 0, 10), g_rand_int_range (random, 0, 100),
                g_rand_int_range (random, 0, 100) });
   g_rand_free (random);
-  return w.agreement ();
+  return w.find_disagreement ();
 }
 
 } // namespace
@@ -269,16 +269,16 @@
 {
   mr_log_set_level (MR_LOG_ERROR);
   bool ok = rc::check ("members agree once faults end", [] {
-    std::string wrong = history (*rc::gen::inRange<guint32> (0, 1U << 30));
+    std::string wrong = run_schedule (*rc::gen::inRange<guint32> (0, 1U << 30));
     RC_ASSERT (wrong == "");
   });
   ok = rc::check ("members of two failure domains agree once faults end",
                   [] {
                     std::string wrong =
-                        history_of_domains (*rc::gen::inRange<guint32> (0, 1U << 30));
+                        run_schedule_in_domains (*rc::gen::inRange<guint32> (0, 1U << 30));
                     RC_ASSERT (wrong == "");
                   }) &&
        ok;
-  ok = fails_without ("refutation", MR_GUARD_REFUTE, 200, history) && ok;
+  ok = fails_without ("refutation", MR_GUARD_REFUTE, 200, run_schedule) && ok;
   return ok ? 0 : 1;
 }
