--- a/src/bootstrap.c
+++ b/src/bootstrap.c
@@ -1,17 +1,17 @@
 #include "bootstrap.h"
 
-/* On the first start of a fleet most daemons would take themselves for watchers before they
- * hear of the others, and read the whole store: 63 calls on a calm day of 6 or 7 VMs, 48 and
- * 51 with a wait of 0.4 s.  295 VMs need longer than that to hear of each other.  There are no
+/* On the first start of a fleet most daemons would consider themselves watchers before they
+ * learn of the others, and read the whole store: 63 calls on a calm day of 6 or 7 VMs, 48 and
+ * 51 with a wait of 0.4 s.  295 VMs need longer than that to learn of each other.  There are no
  * callers yet. */
 static const MrTime FIRST_START_WATCHER_WAIT = 1200 * MR_MS;
-/* Hundreds of small VMs that start together take longer to hear of each other, so each also
- * waits until the number of known members has not grown for a while.  Of 985, a sixth took
- * themselves for watchers after 1.2 s and read the store: a thousand extra calls. */
+/* Hundreds of small VMs that start together take longer to learn of each other, so each also
+ * waits until the number of known members has not grown for a while.  Of 985, a sixth considered
+ * themselves watchers after 1.2 s and read the store: a thousand extra calls. */
 static const MrTime GROWTH_SETTLE_TIME = 300 * MR_MS;
 static const MrTime GROWTH_WAIT_MAX = 6 * MR_SECOND;
 /* After a loss of all VMs no daemon holds any objects, and callers wait for the first that
- * does.  Each watcher waits a random time up to this, so that most hear of one that has read
+ * does.  Each watcher waits a random time up to this, so that most learn of one that has read
  * the store (reading and announcing take some 25 ms) before they read it themselves.  Where all
  * start together the first is ready 20 ms after its start and the last after 75
  * (test_bootstrap).  With 150 ms it was 160 ms and, for daemons that learned by heartbeats, a
--- a/test/test_bootstrap.c
+++ b/test/test_bootstrap.c
@@ -245,8 +245,8 @@
   fleet_free (fleet);
 }
 
-/* Guards against needless store reads on the first start of a fleet: VMs that have heard of
- * few others yet take themselves for the watchers that read the store for all. */
+/* Guards against needless store reads on the first start of a fleet: VMs that know
+ * few others yet consider themselves the watchers that read the store for all. */
 static void
 test_growing_membership (void **state)
 {
