--- a/src/registry.c
+++ b/src/registry.c
@@ -6,7 +6,7 @@
 
 struct _MrRegistry
 {
-  GHashTable *objects[MR_OBJECT_KIND_LAST + 1]; /* of each kind: "<kind>/<name>" -> MrObject */
+  GHashTable *objects[MR_OBJECT_KIND_LAST + 1]; /* per kind: "<kind>/<name>" -> MrObject */
   guint64 digest;
 };
 
@@ -60,29 +60,33 @@
   g_free (registry);
 }
 
-/* An object's share of the digest; XOR makes it independent of order. */
+/* Returns the object's contribution to the digest. Contributions are combined by XOR, which
+ * makes the digest independent of their order. */
 static guint64
-S_fingerprint (const char *key, guint64 version)
+S_version_digest (const char *key, guint64 version)
 {
   return XXH64 (key, strlen (key), version);
 }
 
-/* A target may start again under its id, and what its old process had under way to
- * the platform may arrive after the new one's entry.  Taken for newer, it would
- * point callers at a process that has ended until the next change.  The start
- * that an entry names decides, whatever the order and whoever offers it.  An
- * entry without a start, under an id that has named one, names nobody. */
+/* Detects entries of a target's previous process. A target may restart under the same id, and
+ * a write that its old process sent to the platform may arrive after the new process's entry.
+ * If that write won, callers would be sent to a process that has exited until the entry
+ * changes again. The start time in the entry decides, whatever the order of arrival and
+ * whoever offers it. An entry without a start time, under an id that has had one, does not
+ * identify any process. */
 static gboolean
-S_is_of_earlier_process (const MrObject *known, MrText body, guint64 started)
+S_is_of_earlier_process (const MrObject *known, MrText body, guint64 start)
 {
-  return known && body.len > 0 && started < known->latest_start &&
+  return known && body.len > 0 && start < known->latest_start &&
          MR_SAFEGUARD (MR_GUARD_INCARNATION);
 }
 
+/* Returns the body to store in place of a rejected one: the known one, or none if the rejected
+ * entry has no start time. */
 static MrText
-S_body_in_place (const MrObject *known, guint64 started)
+S_retained_body (const MrObject *known, guint64 start)
 {
-  return started == 0 ? (MrText){ 0 } : mr_text_of (known->body);
+  return start == 0 ? (MrText){ 0 } : mr_text_of (known->body);
 }
 
 MrOfferResult
@@ -96,36 +100,36 @@
       g_free (key);
       return MR_OFFER_SAME;
     }
-  /* A stale read, a slow peer or a healed region offers an older version; taken
-   * up, it would put a replaced configuration back in force.  The platform's
-   * versions of an object only grow, so the comparison is enough. */
+  /* A stale read, a slow peer or a region that was cut off may offer an older version. Storing
+   * it would put a replaced configuration back in force. The platform only increases an
+   * object's version, so comparing versions is enough. */
   if (object && version < object->version && MR_SAFEGUARD (MR_GUARD_MONOTONIC))
     {
       g_free (key);
       return MR_OFFER_OLD;
     }
-  guint64 started = kind == MR_OBJECT_TARGET ? mr_target_record_started (body) : 0;
-  MrOfferResult offer = MR_OFFER_NEW;
-  if (S_is_of_earlier_process (object, body, started))
+  guint64 start = kind == MR_OBJECT_TARGET ? mr_target_record_started (body) : 0;
+  MrOfferResult result = MR_OFFER_NEW;
+  if (S_is_of_earlier_process (object, body, start))
     {
-      offer = MR_OFFER_BODY_REJECTED;
+      result = MR_OFFER_BODY_REJECTED;
       version |= MR_VERSION_BODY_REJECTED;
-      body = S_body_in_place (object, started);
+      body = S_retained_body (object, start);
     }
   if (object)
-    registry->digest ^= S_fingerprint (key, object->version);
-  registry->digest ^= S_fingerprint (key, version);
+    registry->digest ^= S_version_digest (key, object->version);
+  registry->digest ^= S_version_digest (key, version);
   MrObject *replacement = g_new (MrObject, 1);
   *replacement = (MrObject){
     .kind = kind,
     .name = mr_text_dup (name),
     .version = version,
     .body = g_string_new_len (body.data, (gssize) body.len),
-    .latest_start = MAX (started, object ? object->latest_start : 0),
+    .latest_start = MAX (start, object ? object->latest_start : 0),
     .key_hash = XXH64 (key, strlen (key), 0),
   };
   g_hash_table_replace (registry->objects[kind], key, replacement);
-  return offer;
+  return result;
 }
 
 void
@@ -135,7 +139,7 @@
   const MrObject *object = g_hash_table_lookup (registry->objects[kind], key);
   if (!object)
     return;
-  registry->digest ^= S_fingerprint (key, object->version);
+  registry->digest ^= S_version_digest (key, object->version);
   g_hash_table_remove (registry->objects[kind], key);
 }
 
@@ -169,7 +173,7 @@
 }
 
 static void
-S_add_to_parts (GHashTable *objects, MrHashRange range, guint64 *digests, guint *counts)
+S_add_range_digests (GHashTable *objects, MrHashRange range, guint64 *digests, guint *counts)
 {
   GHashTableIter iter;
   gpointer key = NULL;
@@ -181,7 +185,7 @@
       if (!mr_hash_range_contains (range, object->key_hash))
         continue;
       guint part = (object->key_hash << range.bits) >> (64 - MR_HASH_RANGE_PART_BITS);
-      digests[part] ^= S_fingerprint (key, object->version);
+      digests[part] ^= S_version_digest (key, object->version);
       counts[part]++;
     }
 }
@@ -195,7 +199,7 @@
   memset (digests, 0, MR_HASH_RANGE_PARTS * sizeof *digests);
   memset (counts, 0, MR_HASH_RANGE_PARTS * sizeof *counts);
   for (int kind = 0; kind <= MR_OBJECT_KIND_LAST; kind++)
-    S_add_to_parts (registry->objects[kind], range, digests, counts);
+    S_add_range_digests (registry->objects[kind], range, digests, counts);
 }
 
 void
--- a/src/removal_filter.c
+++ b/src/removal_filter.c
@@ -1,178 +1,178 @@
 #include "removal_filter.h"
 
-/* Entries are back within about two seconds of the store's return. */
+/* Targets rewrite their entries within about two seconds after the store returns. */
 static const MrTime GRACE = 2300 * MR_MS;
-/* This many removals at once, and this part of all that is known, look like a
- * lapse even if no outage was seen: a silent one may end before any call of ours
- * failed, and lets the entries of all targets lapse.  Ordinary exchanges take
- * fewer, and their targets have left. They are held back too,
- * for less: with the pause between two reads (0.4 s) it has to stay inside the
- * time in which a leaving target may be given work (3 s). */
+/* Removals within BURST_WINDOW that count as the expiry of all entries in an undetected
+ * outage: at least BURST_MIN, and at least one in BURST_PART of the known objects. A short
+ * outage may end before any call of this daemon fails and still let the entries of all targets
+ * expire. A normal replacement of targets removes fewer at a time. Such a burst is delayed
+ * too, but for less than GRACE: together with the pause between two reads (0.4 s) the delay
+ * has to stay within the 3 s in which a leaving target may still be given work. */
 enum
 {
-  MANY = 4,
-  MANY_PART = 5, /* one in so many */
+  BURST_MIN = 4,
+  BURST_PART = 5, /* divisor of the number of known objects */
 };
-static const MrTime MANY_GRACE = 2100 * MR_MS;
-static const MrTime MANY_WINDOW = 500 * MR_MS;
+static const MrTime BURST_GRACE = 2100 * MR_MS;
+static const MrTime BURST_WINDOW = 500 * MR_MS;
 
 typedef struct
 {
   guint64 version;
-  MrTime learned;
-  MrTime due; /* MR_NEVER: learned in an outage that lasts */
-} Removal;
+  MrTime learned_at;
+  MrTime due; /* MR_NEVER: learned in an outage that has not ended */
+} PendingRemoval;
 
 struct _MrRemovalFilter
 {
-  GHashTable *seen;     /* names in the listing under way */
-  GHashTable *removals; /* name -> Removal */
-  guint64 version;
-  bool up;
-  unsigned known;
-  MrTime changed_at; /* of the store's state; 0: it has always answered */
-  MrTime burst_at;   /* first of the latest removals */
-  guint burst;
+  GHashTable *listed;   /* names in the current listing */
+  GHashTable *removals; /* name -> PendingRemoval */
+  guint64 listing_version;
+  bool store_up;
+  unsigned object_count;
+  MrTime store_changed_at; /* last change of store_up; 0: the store has always answered */
+  MrTime burst_start;      /* first removal of the current burst */
+  guint burst_count;
 };
 
 MrRemovalFilter *
 mr_removal_filter_new (void)
 {
-  MrRemovalFilter *listing = g_new0 (MrRemovalFilter, 1);
-  listing->seen = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  listing->removals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  listing->up = true;
-  return listing;
+  MrRemovalFilter *filter = g_new0 (MrRemovalFilter, 1);
+  filter->listed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  filter->removals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  filter->store_up = true;
+  return filter;
 }
 
 void
-mr_removal_filter_free (MrRemovalFilter *listing)
+mr_removal_filter_free (MrRemovalFilter *filter)
 {
-  if (!listing)
+  if (!filter)
     return;
-  g_hash_table_unref (listing->seen);
-  g_hash_table_unref (listing->removals);
-  g_free (listing);
+  g_hash_table_unref (filter->listed);
+  g_hash_table_unref (filter->removals);
+  g_free (filter);
 }
 
-/* While the store is down no entry can come back, so removals that were learned
- * then wait for GRACE from its return. */
+/* No entry can reappear while the store is down, so GRACE for removals learned during the
+ * outage starts when the store returns. */
 static void
-S_begin_wait (MrRemovalFilter *listing, MrTime now)
+S_start_grace (MrRemovalFilter *filter, MrTime now)
 {
   GHashTableIter iter;
   gpointer item = NULL;
-  g_hash_table_iter_init (&iter, listing->removals);
+  g_hash_table_iter_init (&iter, filter->removals);
   while (g_hash_table_iter_next (&iter, NULL, &item))
-    if (((Removal *) item)->due == MR_NEVER)
-      ((Removal *) item)->due = now + GRACE;
+    if (((PendingRemoval *) item)->due == MR_NEVER)
+      ((PendingRemoval *) item)->due = now + GRACE;
 }
 
-/* Holds back the removals of the burst under way, and only those: held anew by
- * each burst, a target that left would be given work for as long as others
- * leave. */
+/* Delays the removals of the current burst only. If each burst delayed earlier removals again,
+ * a target that has left would be given work for as long as other targets leave. */
 static void
-S_hold_burst (MrRemovalFilter *listing)
+S_delay_burst (MrRemovalFilter *filter)
 {
   GHashTableIter iter;
   gpointer item = NULL;
-  g_hash_table_iter_init (&iter, listing->removals);
+  g_hash_table_iter_init (&iter, filter->removals);
   while (g_hash_table_iter_next (&iter, NULL, &item))
     {
-      Removal *removal = item;
-      if (removal->learned >= listing->burst_at && removal->due != MR_NEVER)
-        removal->due = MAX (removal->due, removal->learned + MANY_GRACE);
+      PendingRemoval *removal = item;
+      if (removal->learned_at >= filter->burst_start && removal->due != MR_NEVER)
+        removal->due = MAX (removal->due, removal->learned_at + BURST_GRACE);
     }
 }
 
 void
-mr_removal_filter_set_store_up (MrRemovalFilter *listing, MrTime now, bool up)
+mr_removal_filter_set_store_up (MrRemovalFilter *filter, MrTime now, bool up)
 {
-  if (up == listing->up)
+  if (up == filter->store_up)
     return;
-  listing->up = up;
-  listing->changed_at = now;
+  filter->store_up = up;
+  filter->store_changed_at = now;
   if (up)
-    S_begin_wait (listing, now);
+    S_start_grace (filter, now);
 }
 
 void
-mr_removal_filter_set_object_count (MrRemovalFilter *listing, unsigned known)
+mr_removal_filter_set_object_count (MrRemovalFilter *filter, unsigned object_count)
 {
-  listing->known = known;
+  filter->object_count = object_count;
 }
 
 void
-mr_removal_filter_begin_listing (MrRemovalFilter *listing, guint64 version)
+mr_removal_filter_begin_listing (MrRemovalFilter *filter, guint64 version)
 {
-  g_hash_table_remove_all (listing->seen);
-  listing->version = version;
+  g_hash_table_remove_all (filter->listed);
+  filter->listing_version = version;
 }
 
 guint64
-mr_removal_filter_listing_version (const MrRemovalFilter *listing)
+mr_removal_filter_listing_version (const MrRemovalFilter *filter)
 {
-  return listing->version;
+  return filter->listing_version;
 }
 
 void
-mr_removal_filter_add_present (MrRemovalFilter *listing, const char *name, guint64 version)
+mr_removal_filter_add_present (MrRemovalFilter *filter, const char *name, guint64 version)
 {
-  const Removal *removal = g_hash_table_lookup (listing->removals, name);
+  const PendingRemoval *removal = g_hash_table_lookup (filter->removals, name);
   if (removal && removal->version < version)
-    g_hash_table_remove (listing->removals, name);
-  g_hash_table_add (listing->seen, g_strdup (name));
+    g_hash_table_remove (filter->removals, name);
+  g_hash_table_add (filter->listed, g_strdup (name));
 }
 
 bool
-mr_removal_filter_is_listed (const MrRemovalFilter *listing, const char *name)
+mr_removal_filter_is_listed (const MrRemovalFilter *filter, const char *name)
 {
-  return g_hash_table_contains (listing->seen, name);
+  return g_hash_table_contains (filter->listed, name);
 }
 
 static MrTime
-S_due (MrRemovalFilter *listing, MrTime now)
+S_removal_due (MrRemovalFilter *filter, MrTime now)
 {
-  if (!listing->up)
+  if (!filter->store_up)
     return MR_NEVER;
-  if (listing->changed_at != 0 && now < listing->changed_at + GRACE)
-    return listing->changed_at + GRACE;
-  if (now - listing->burst_at > MANY_WINDOW)
+  if (filter->store_changed_at != 0 && now < filter->store_changed_at + GRACE)
+    return filter->store_changed_at + GRACE;
+  if (now - filter->burst_start > BURST_WINDOW)
     {
-      listing->burst_at = now;
-      listing->burst = 0;
+      filter->burst_start = now;
+      filter->burst_count = 0;
     }
-  if (++listing->burst < MAX (MANY, listing->known / MANY_PART))
+  if (++filter->burst_count < MAX (BURST_MIN, filter->object_count / BURST_PART))
     return now;
-  S_hold_burst (listing);
-  return now + MANY_GRACE;
+  S_delay_burst (filter);
+  return now + BURST_GRACE;
 }
 
 void
-mr_removal_filter_add_removed (MrRemovalFilter *listing,
+mr_removal_filter_add_removed (MrRemovalFilter *filter,
                                MrTime now,
                                const char *name,
                                guint64 version)
 {
-  const Removal *known = g_hash_table_lookup (listing->removals, name);
+  const PendingRemoval *known = g_hash_table_lookup (filter->removals, name);
   if (known && known->version >= version)
     return;
-  Removal *removal = g_new (Removal, 1);
-  *removal = (Removal){ .version = version, .learned = now, .due = S_due (listing, now) };
-  g_hash_table_replace (listing->removals, g_strdup (name), removal);
-  g_hash_table_remove (listing->seen, name);
+  PendingRemoval *removal = g_new (PendingRemoval, 1);
+  *removal =
+      (PendingRemoval){ .version = version, .learned_at = now, .due = S_removal_due (filter, now) };
+  g_hash_table_replace (filter->removals, g_strdup (name), removal);
+  g_hash_table_remove (filter->listed, name);
 }
 
 bool
-mr_removal_filter_take_due (MrRemovalFilter *listing, MrTime now, char **name, guint64 *version)
+mr_removal_filter_take_due (MrRemovalFilter *filter, MrTime now, char **name, guint64 *version)
 {
   GHashTableIter iter;
   gpointer key = NULL;
   gpointer item = NULL;
-  g_hash_table_iter_init (&iter, listing->removals);
+  g_hash_table_iter_init (&iter, filter->removals);
   while (g_hash_table_iter_next (&iter, &key, &item))
     {
-      const Removal *removal = item;
+      const PendingRemoval *removal = item;
       if (removal->due > now)
         continue;
       *name = g_strdup (key);
@@ -184,13 +184,13 @@
 }
 
 MrTime
-mr_removal_filter_next_due (const MrRemovalFilter *listing)
+mr_removal_filter_next_due (const MrRemovalFilter *filter)
 {
   MrTime next = MR_NEVER;
   GHashTableIter iter;
   gpointer item = NULL;
-  g_hash_table_iter_init (&iter, listing->removals);
+  g_hash_table_iter_init (&iter, filter->removals);
   while (g_hash_table_iter_next (&iter, NULL, &item))
-    next = MIN (next, ((const Removal *) item)->due);
+    next = MIN (next, ((const PendingRemoval *) item)->due);
   return next;
 }
--- a/src/removal_filter.h
+++ b/src/removal_filter.h
@@ -1,12 +1,13 @@
-/* Which listed objects are gone, from full listings in pages and from single
- * removals, in spite of outages of the store.
+/* Filter that delays removals of objects which an outage of the store may have caused.
  *
- * Targets renew their entries at the store.  In an outage the entries lapse
- * although their targets live, and come back within GRACE of its return; taken
- * at once, such removals would take every target out of use at the worst
- * moment.  So a removal that is learned around an outage is held back for GRACE
- * and dropped if the entry comes back.  One that is learned in calm times is
- * passed on at once: its target has left. */
+ * Targets renew their entries at the store. During an outage the entries expire although the
+ * targets are alive, and the targets write them again soon after the store returns. If such
+ * removals were applied at once, all targets would go out of use at the worst moment. A
+ * removal that is learned around an outage, or in a burst that suggests an undetected outage,
+ * is therefore delayed for a grace period and discarded if the entry reappears. Any other
+ * removal is applied at once, because the target has left.
+ *
+ * Removals are learned from events and from full paged listings that lack an object. */
 #pragma once
 
 #include "clock.h"
@@ -16,34 +17,34 @@
 typedef struct _MrRemovalFilter MrRemovalFilter;
 
 MrRemovalFilter *mr_removal_filter_new (void);
-void mr_removal_filter_free (MrRemovalFilter *listing);
+void mr_removal_filter_free (MrRemovalFilter *filter);
 
-/* The store does not answer, or answers again. */
-void mr_removal_filter_set_store_up (MrRemovalFilter *listing, MrTime now, bool up);
+/* Reports whether the store answers. */
+void mr_removal_filter_set_store_up (MrRemovalFilter *filter, MrTime now, bool up);
 
-/* How many objects are known: a lapse takes a good part of them. */
-void mr_removal_filter_set_object_count (MrRemovalFilter *listing, unsigned known);
+/* Sets the number of known objects. A burst that removes a large part of them is treated as an
+ * outage. */
+void mr_removal_filter_set_object_count (MrRemovalFilter *filter, unsigned object_count);
 
-/* A full listing begins; what it does not name was gone at @version. */
-void mr_removal_filter_begin_listing (MrRemovalFilter *listing, guint64 version);
-guint64 mr_removal_filter_listing_version (const MrRemovalFilter *listing);
+/* Starts a full listing. An object that the listing lacks was removed at @version. */
+void mr_removal_filter_begin_listing (MrRemovalFilter *filter, guint64 version);
+guint64 mr_removal_filter_listing_version (const MrRemovalFilter *filter);
 
-/* The object exists at @version: named in a listing or in an event. */
-void mr_removal_filter_add_present (MrRemovalFilter *listing, const char *name, guint64 version);
+/* Reports that the object exists at @version, as seen in a listing or an event. */
+void mr_removal_filter_add_present (MrRemovalFilter *filter, const char *name, guint64 version);
 
-/* TRUE if the listing under way has named it. */
-bool mr_removal_filter_is_listed (const MrRemovalFilter *listing, const char *name);
+/* TRUE if the current listing contains the object. */
+bool mr_removal_filter_is_listed (const MrRemovalFilter *filter, const char *name);
 
-/* The object was removed at @version. */
-void mr_removal_filter_add_removed (MrRemovalFilter *listing,
+/* Reports that the object was removed at @version. */
+void mr_removal_filter_add_removed (MrRemovalFilter *filter,
                                     MrTime now,
                                     const char *name,
                                     guint64 version);
 
-/* Takes a removal that is to be believed by now; false if there is none.
- * @name is new. */
+/* Takes one removal that is due. Returns false if there is none. The caller frees @name. */
 bool
-mr_removal_filter_take_due (MrRemovalFilter *listing, MrTime now, char **name, guint64 *version);
+mr_removal_filter_take_due (MrRemovalFilter *filter, MrTime now, char **name, guint64 *version);
 
-/* When the next removal is to be believed; MR_NEVER if there is none. */
-MrTime mr_removal_filter_next_due (const MrRemovalFilter *listing);
+/* Returns when the next removal is due, or MR_NEVER if there is none. */
+MrTime mr_removal_filter_next_due (const MrRemovalFilter *filter);
--- a/src/replication.c
+++ b/src/replication.c
@@ -3,115 +3,115 @@
 #include "log.h"
 #include "membership.h"
 
-/* An object asked for is not asked for again before this. */
-static const MrTime GET_GAP = 500 * MR_MS;
-/* Two daemons compare what they hold at most this often, and only once their digests
- * have differed this long: news is mostly on its way, and a comparison that finds
- * nothing costs more than the news. */
+/* Minimum time between two fetches of the same version of an object. */
+static const MrTime FETCH_GAP = 500 * MR_MS;
+/* Minimum time between two comparisons with the same peer, and how long the digests must have
+ * differed before. A difference is mostly an announcement still on its way, and a comparison
+ * that finds nothing costs more than the announcement. */
 static const MrTime COMPARE_GAP = 1 * MR_SECOND;
-/* While objects come in here, or the other's digest changes, the difference is news under
- * way: in a fleet whose targets are listed over seconds no two digests are ever the same,
- * and each comparison finds all ranges differ and ends in whole lists.  Then it has to last
- * this long, and again before the next. */
-static const MrTime COMPARE_GAP_MOVING = 4 * MR_SECOND;
-static const MrTime SETTLED = 1 * MR_SECOND;
-/* One that has just started asks the same peer for its list not more often than this. */
-static const MrTime ASK_GAP = 100 * MR_MS;
-/* News is gathered for this long: changes come in bursts (282 targets that start), and
- * one message for each, over each link, was a tenth of all control bytes. */
-static const MrTime GATHER = 3 * MR_MS;
+/* The same while the two registries are changing: objects are still arriving here, or the
+ * peer's digest changes. In a large fleet whose targets are listed over seconds no two digests
+ * are ever equal, and each comparison would find that all ranges differ and end in full lists. */
+static const MrTime COMPARE_GAP_CHANGING = 4 * MR_SECOND;
+static const MrTime SETTLE_TIME = 1 * MR_SECOND;
+/* Minimum time between two requests of a starting daemon to the same peer for its full list. */
+static const MrTime LIST_REQUEST_GAP = 100 * MR_MS;
+/* Time over which announcements are batched. Changes come in bursts (282 targets that start
+ * together), and one message per change and link made up a tenth of all control traffic. */
+static const MrTime ANNOUNCE_DELAY = 3 * MR_MS;
 
 enum
 {
-  /* A range in which the asked daemon holds this many at most is listed, a larger
-   * one is divided: two that differ in one object of 4,800 exchange under 1 kB. */
-  LISTED_MOST = 8,
-  /* With more parts than this that differ the whole range is listed. */
-  PARTS_MOST = 8,
-  OBJECTS_BYTES = 64 * 1024, /* of bodies in one message; a link carries it in 30 ms */
-  /* Whole lists that are sent within ASK_GAP: all that start together would ask the
-   * first that holds something, and its link would be busy for seconds; the others
-   * ask one of those that have been served. */
-  LISTS_AT_ONCE = 4,
+  /* A range in which the local daemon holds at most this many objects is sent as a list; a
+   * larger range is subdivided. Two daemons that differ in one of 4,800 objects exchange less
+   * than 1 kB. */
+  LISTED_OBJECTS_MAX = 8,
+  /* If more subranges than this differ, the whole range is sent as a list. */
+  DIFFERING_PARTS_MAX = 8,
+  BODY_BYTES_MAX = 64 * 1024, /* bodies per message; a link transfers them in 30 ms */
+  /* Full lists sent per LIST_REQUEST_GAP. Daemons that start together would all ask the first
+   * peer that holds objects and keep its link busy for seconds; the rest ask one of those that
+   * have already been served. */
+  FULL_LISTS_MAX = 4,
 };
 
-static const MrHashRange EVERYTHING = { 0 };
+static const MrHashRange FULL_RANGE = { 0 };
 
-/* News that is gathered, until the neighbours are told. */
+/* An object whose new version has not been announced yet. */
 typedef struct
 {
   MrObjectKind kind;
   char *name;
-  char *teller; /* "": the platform */
-} Untold;
+  char *learned_from; /* peer that sent it, not announced back to it; "": the platform */
+} PendingAnnouncement;
 
-/* A member whose digest differs from ours. */
+/* A member whose digest differs from the local one. */
 typedef struct
 {
   MrTime since;
   guint64 digest;
-} Differs;
+} DigestDifference;
 
 struct _MrReplication
 {
   MrReplicationHost *host;
   MrRegistry *registry;
   char *self;
-  GHashTable *asked;    /* "<kind>/<name>/<version>" -> MrTime* of the last GET */
-  GHashTable *missing;  /* "<kind>/<name>" of a peer's list, not here yet */
-  GHashTable *compared; /* member -> MrTime* */
-  GHashTable *differs;  /* member -> Differs */
-  GHashTable *untold;   /* "<kind>/<name>" -> Untold */
-  MrTime tell_at;       /* MR_NEVER: nothing gathered */
-  MrTime fetch_at;      /* when bodies that are missing were asked for, or the latest came */
-  MrTime listed_at;     /* first of the whole lists that count */
-  guint listed;
-  GHashTable *lenders; /* set of members that were asked for all that they hold */
+  GHashTable *fetch_times;    /* "<kind>/<name>/<version>" -> MrTime* of the last GET */
+  GHashTable *missing_bodies; /* "<kind>/<name>" in a peer's list whose body has not arrived */
+  GHashTable *request_times;  /* member -> MrTime* of the last comparison or list request */
+  GHashTable *differences;    /* member -> DigestDifference */
+  GHashTable *pending;        /* "<kind>/<name>" -> PendingAnnouncement */
+  MrTime announce_at;         /* MR_NEVER: nothing pending */
+  MrTime last_fetch;          /* when missing bodies were last requested or received */
+  MrTime list_interval_start; /* start of the interval that full_lists_sent counts */
+  guint full_lists_sent;
+  GHashTable *list_sources; /* set of members whose full list was requested */
   gboolean complete;
   gboolean synced;
-  gboolean taken;  /* an object, since a digest was looked at */
-  MrTime taken_at; /* the latest, as seen then */
+  gboolean object_stored; /* an object was stored since the last heartbeat digest */
+  MrTime last_stored;     /* when such a store was last noticed */
 };
 
 static void
-S_untold_free (gpointer data)
+S_pending_free (gpointer data)
 {
-  Untold *untold = data;
-  g_free (untold->name);
-  g_free (untold->teller);
-  g_free (untold);
+  PendingAnnouncement *pending = data;
+  g_free (pending->name);
+  g_free (pending->learned_from);
+  g_free (pending);
 }
 
 MrReplication *
 mr_replication_new (MrReplicationHost *host, MrRegistry *registry, const char *self)
 {
-  MrReplication *spread = g_new0 (MrReplication, 1);
-  spread->host = host;
-  spread->registry = registry;
-  spread->self = g_strdup (self);
-  spread->asked = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  spread->missing = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  spread->compared = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  spread->differs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  spread->untold = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, S_untold_free);
-  spread->lenders = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  spread->tell_at = MR_NEVER;
-  return spread;
+  MrReplication *replication = g_new0 (MrReplication, 1);
+  replication->host = host;
+  replication->registry = registry;
+  replication->self = g_strdup (self);
+  replication->fetch_times = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  replication->missing_bodies = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  replication->request_times = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  replication->differences = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  replication->pending = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, S_pending_free);
+  replication->list_sources = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  replication->announce_at = MR_NEVER;
+  return replication;
 }
 
 void
-mr_replication_free (MrReplication *spread)
+mr_replication_free (MrReplication *replication)
 {
-  if (!spread)
+  if (!replication)
     return;
-  g_hash_table_unref (spread->asked);
-  g_hash_table_unref (spread->missing);
-  g_hash_table_unref (spread->compared);
-  g_hash_table_unref (spread->differs);
-  g_hash_table_unref (spread->untold);
-  g_hash_table_unref (spread->lenders);
-  g_free (spread->self);
-  g_free (spread);
+  g_hash_table_unref (replication->fetch_times);
+  g_hash_table_unref (replication->missing_bodies);
+  g_hash_table_unref (replication->request_times);
+  g_hash_table_unref (replication->differences);
+  g_hash_table_unref (replication->pending);
+  g_hash_table_unref (replication->list_sources);
+  g_free (replication->self);
+  g_free (replication);
 }
 
 static char *
@@ -129,404 +129,419 @@
 }
 
 static void
-S_note_time (GHashTable *times, const char *key, MrTime now)
+S_record_time (GHashTable *times, const char *key, MrTime now)
 {
-  MrTime *noted = g_new (MrTime, 1);
-  *noted = now;
-  g_hash_table_replace (times, g_strdup (key), noted);
+  MrTime *recorded = g_new (MrTime, 1);
+  *recorded = now;
+  g_hash_table_replace (times, g_strdup (key), recorded);
 }
 
-/* TRUE, and noted, if @key was not used in the last @gap. */
+/* Returns TRUE, and records @now, if @key has not been recorded within the last @gap. */
 static gboolean
-S_once_in (GHashTable *times, const char *key, MrTime now, MrTime gap)
+S_is_allowed_after (GHashTable *times, const char *key, MrTime now, MrTime gap)
 {
   MrTime *last = g_hash_table_lookup (times, key);
   if (last && now - *last < gap)
     return FALSE;
-  S_note_time (times, key, now);
+  S_record_time (times, key, now);
   return TRUE;
 }
 
-/* Telling. */
+/* Announcements */
 
 static void
-S_tell (MrReplication *spread, const char *neighbour)
+S_announce (MrReplication *replication, const char *neighbour)
 {
   g_autoptr (GArray) list = g_array_new (FALSE, FALSE, sizeof (MrNews));
   GHashTableIter iter;
   gpointer item = NULL;
-  g_hash_table_iter_init (&iter, spread->untold);
+  g_hash_table_iter_init (&iter, replication->pending);
   while (g_hash_table_iter_next (&iter, NULL, &item))
     {
-      const Untold *untold = item;
-      const MrObject *object = mr_registry_get (spread->registry, untold->kind, untold->name);
-      if (!object || g_str_equal (untold->teller, neighbour))
+      const PendingAnnouncement *pending = item;
+      const MrObject *object =
+          mr_registry_get (replication->registry, pending->kind, pending->name);
+      if (!object || g_str_equal (pending->learned_from, neighbour))
         continue;
       MrNews news = S_news (object);
       g_array_append_val (list, news);
     }
   if (list->len > 0)
-    spread->host->send (
-        spread->host, neighbour,
-        mr_wire_news (spread->self, (const MrNews *) (void *) list->data, list->len));
+    replication->host->send (
+        replication->host, neighbour,
+        mr_wire_news (replication->self, (const MrNews *) (void *) list->data, list->len));
 }
 
 MrTime
-mr_replication_tick (MrReplication *spread, MrTime now)
+mr_replication_tick (MrReplication *replication, MrTime now)
 {
-  if (g_hash_table_size (spread->untold) == 0)
+  if (g_hash_table_size (replication->pending) == 0)
     return MR_NEVER;
-  if (spread->tell_at == MR_NEVER)
-    spread->tell_at = now + GATHER;
-  if (now < spread->tell_at)
-    return spread->tell_at;
+  if (replication->announce_at == MR_NEVER)
+    replication->announce_at = now + ANNOUNCE_DELAY;
+  if (now < replication->announce_at)
+    return replication->announce_at;
   const char *names[MR_NEIGHBOURS_MAX];
-  guint count = spread->host->neighbours (spread->host, names);
+  guint count = replication->host->neighbours (replication->host, names);
   for (guint i = 0; i < count; i++)
-    S_tell (spread, names[i]);
-  g_hash_table_remove_all (spread->untold);
-  spread->tell_at = MR_NEVER;
+    S_announce (replication, names[i]);
+  g_hash_table_remove_all (replication->pending);
+  replication->announce_at = MR_NEVER;
   return MR_NEVER;
 }
 
-/* With the last object of a peer's whole list this daemon knows what that peer knows. */
+/* Once the last missing object of a peer's full list has arrived, this daemon knows everything
+ * that the peer knows. */
 static void
-S_note_arrival (MrReplication *spread, MrObjectKind kind, MrText name)
+S_record_arrival (MrReplication *replication, MrObjectKind kind, MrText name)
 {
   g_autofree char *key = S_key (kind, name);
-  if (g_hash_table_remove (spread->missing, key) && g_hash_table_size (spread->missing) == 0)
-    spread->synced = TRUE;
+  if (g_hash_table_remove (replication->missing_bodies, key) &&
+      g_hash_table_size (replication->missing_bodies) == 0)
+    replication->synced = TRUE;
 }
 
 MrOfferResult
-mr_replication_offer (MrReplication *spread,
+mr_replication_offer (MrReplication *replication,
                       MrObjectKind kind,
                       MrText name,
                       guint64 version,
                       MrText body,
                       const char *from)
 {
-  MrOfferResult offer = mr_registry_offer (spread->registry, kind, name, version, body);
-  if (offer == MR_OFFER_OLD)
+  MrOfferResult result = mr_registry_offer (replication->registry, kind, name, version, body);
+  if (result == MR_OFFER_OLD)
     mr_log (MR_LOG_NOTICE, MR_EVENT_OBJECT_OLD,
-            "%s/%.*s: version %" G_GUINT64_FORMAT " from %s is older than ours; passed over",
+            "%s/%.*s: version %" G_GUINT64_FORMAT
+            " from %s is older than the stored version; ignored",
             mr_object_kind_name (kind), (int) name.len, name.data, version,
             from ? from : "the platform");
-  if (offer == MR_OFFER_BODY_REJECTED)
+  if (result == MR_OFFER_BODY_REJECTED)
     mr_log (MR_LOG_NOTICE, MR_EVENT_ENTRY_UNUSABLE,
             "%s/%.*s: version %" G_GUINT64_FORMAT
-            " from %s was written by an earlier process or tells no start; passed over",
+            " from %s was written by an earlier process or has no start time; ignored",
             mr_object_kind_name (kind), (int) name.len, name.data, version,
             from ? from : "the platform");
   if (from)
-    S_note_arrival (spread, kind, name);
-  if (offer != MR_OFFER_NEW && offer != MR_OFFER_BODY_REJECTED)
-    return offer;
-  Untold *untold = g_new (Untold, 1);
-  *untold = (Untold){
+    S_record_arrival (replication, kind, name);
+  if (result != MR_OFFER_NEW && result != MR_OFFER_BODY_REJECTED)
+    return result;
+  PendingAnnouncement *pending = g_new (PendingAnnouncement, 1);
+  *pending = (PendingAnnouncement){
     .kind = kind,
     .name = mr_text_dup (name),
-    .teller = g_strdup (from ? from : ""),
+    .learned_from = g_strdup (from ? from : ""),
   };
-  g_hash_table_replace (spread->untold, S_key (kind, name), untold);
-  spread->taken = TRUE;
-  g_autofree char *own_name = mr_text_dup (name);
-  spread->host->updated (spread->host, mr_registry_get (spread->registry, kind, own_name));
-  return offer;
+  g_hash_table_replace (replication->pending, S_key (kind, name), pending);
+  replication->object_stored = TRUE;
+  g_autofree char *name_string = mr_text_dup (name);
+  replication->host->updated (replication->host,
+                              mr_registry_get (replication->registry, kind, name_string));
+  return result;
 }
 
-/* Comparing. */
+/* Comparison of registries */
 
 typedef struct
 {
   MrHashRange range;
   GArray *news; /* MrNews */
-} Listing;
+} RangeListing;
 
 static void
 S_add_news (const MrObject *object, void *user)
 {
-  Listing *listing = user;
+  RangeListing *listing = user;
   MrNews news = S_news (object);
   if (mr_hash_range_contains (listing->range, object->key_hash))
     g_array_append_val (listing->news, news);
 }
 
-/* All that is held here in @range, by name and version. */
+/* Sends the names and versions of all objects in @range. */
 static void
-S_send_list (MrReplication *spread, const char *to, MrHashRange range)
-{
-  Listing listing = { .range = range, .news = g_array_new (FALSE, FALSE, sizeof (MrNews)) };
-  mr_registry_foreach (spread->registry, S_add_news, &listing);
-  spread->host->send (spread->host, to,
-                      mr_wire_list (spread->self, range,
-                                    (const MrNews *) (void *) listing.news->data,
-                                    listing.news->len));
+S_send_list (MrReplication *replication, const char *to, MrHashRange range)
+{
+  RangeListing listing = { .range = range, .news = g_array_new (FALSE, FALSE, sizeof (MrNews)) };
+  mr_registry_foreach (replication->registry, S_add_news, &listing);
+  replication->host->send (replication->host, to,
+                           mr_wire_list (replication->self, range,
+                                         (const MrNews *) (void *) listing.news->data,
+                                         listing.news->len));
   g_array_unref (listing.news);
 }
 
 static void
-S_send_ranges (MrReplication *spread, const char *to, MrHashRange range)
+S_send_ranges (MrReplication *replication, const char *to, MrHashRange range)
 {
   guint64 digests[MR_HASH_RANGE_PARTS];
   guint counts[MR_HASH_RANGE_PARTS];
-  mr_registry_range_digests (spread->registry, range, digests, counts);
-  spread->host->send (spread->host, to, mr_wire_ranges (spread->self, range, digests));
+  mr_registry_range_digests (replication->registry, range, digests, counts);
+  replication->host->send (replication->host, to,
+                           mr_wire_ranges (replication->self, range, digests));
 }
 
 static void
-S_on_ranges (MrReplication *spread, const MrWireMessage *message)
+S_on_ranges (MrReplication *replication, const MrWireMessage *message)
 {
   guint64 digests[MR_HASH_RANGE_PARTS];
   guint counts[MR_HASH_RANGE_PARTS];
-  guint differ = 0;
-  mr_registry_range_digests (spread->registry, message->range, digests, counts);
+  guint differing = 0;
+  mr_registry_range_digests (replication->registry, message->range, digests, counts);
   for (guint i = 0; i < MR_HASH_RANGE_PARTS; i++)
-    differ += digests[i] != message->digests[i];
-  gboolean whole =
-      differ > PARTS_MOST || message->range.bits + MR_HASH_RANGE_PART_BITS > MR_HASH_RANGE_MAX_BITS;
-  if (whole)
-    S_send_list (spread, message->sender, message->range);
-  for (guint i = 0; i < MR_HASH_RANGE_PARTS && !whole; i++)
+    differing += digests[i] != message->digests[i];
+  gboolean list_whole_range =
+      differing > DIFFERING_PARTS_MAX ||
+      message->range.bits + MR_HASH_RANGE_PART_BITS > MR_HASH_RANGE_MAX_BITS;
+  if (list_whole_range)
+    S_send_list (replication, message->sender, message->range);
+  for (guint i = 0; i < MR_HASH_RANGE_PARTS && !list_whole_range; i++)
     {
       MrHashRange part = mr_hash_range_part (message->range, i);
       if (digests[i] == message->digests[i])
         continue;
-      if (counts[i] <= LISTED_MOST)
-        S_send_list (spread, message->sender, part);
+      if (counts[i] <= LISTED_OBJECTS_MAX)
+        S_send_list (replication, message->sender, part);
       else
-        S_send_ranges (spread, message->sender, part);
+        S_send_ranges (replication, message->sender, part);
     }
 }
 
-/* Asks for the bodies of those of @message's objects that are newer than ours. */
+/* Requests the bodies of the objects whose versions in @message are newer than the stored ones. */
 static void
-S_get_newer (MrReplication *spread, MrTime now, const MrWireMessage *message)
+S_fetch_newer (MrReplication *replication, MrTime now, const MrWireMessage *message)
 {
   g_autoptr (GArray) wanted = g_array_new (FALSE, FALSE, sizeof (MrNews));
-  /* A list that a comparison brings may be of one that lacks more than we do. */
-  gboolean whole = message->type == MR_WIRE_LIST && message->range.bits == 0 &&
-                   g_hash_table_contains (spread->lenders, message->sender);
-  if (whole)
-    spread->fetch_at = now;
-  if (g_hash_table_size (spread->asked) > MR_TARGETS_MAX)
-    g_hash_table_remove_all (spread->asked);
+  /* Only a list that was requested counts as complete. A list that results from a comparison
+   * may come from a peer that holds fewer objects than this daemon. */
+  gboolean complete = message->type == MR_WIRE_LIST && message->range.bits == 0 &&
+                      g_hash_table_contains (replication->list_sources, message->sender);
+  if (complete)
+    replication->last_fetch = now;
+  if (g_hash_table_size (replication->fetch_times) > MR_TARGETS_MAX)
+    g_hash_table_remove_all (replication->fetch_times);
   for (guint i = 0; i < message->news_count; i++)
     {
       const MrNews *news = &message->news[i];
-      if (news->version <= mr_registry_version (spread->registry, news->kind, news->name))
+      if (news->version <= mr_registry_version (replication->registry, news->kind, news->name))
         continue;
-      /* No round trip for a body, while which calls would go where they must not. */
+      /* Stored at once, since a round trip for a body would leave time in which calls go to
+       * targets that must not get them. */
       if (mr_object_is_bodiless (news->kind))
         {
-          mr_replication_offer (spread, news->kind, mr_text (news->name), news->version,
+          mr_replication_offer (replication, news->kind, mr_text (news->name), news->version,
                                 (MrText){ 0 }, message->sender);
           continue;
         }
-      if (whole && !spread->synced)
-        g_hash_table_add (spread->missing, S_key (news->kind, mr_text (news->name)));
+      if (complete && !replication->synced)
+        g_hash_table_add (replication->missing_bodies, S_key (news->kind, mr_text (news->name)));
       g_autofree char *key =
           g_strdup_printf ("%d/%s/%" G_GUINT64_FORMAT, (int) news->kind, news->name, news->version);
-      if (S_once_in (spread->asked, key, now, GET_GAP))
+      if (S_is_allowed_after (replication->fetch_times, key, now, FETCH_GAP))
         g_array_append_val (wanted, *news);
     }
   if (wanted->len > 0)
-    spread->host->send (
-        spread->host, message->sender,
-        mr_wire_get (spread->self, (const MrNews *) (void *) wanted->data, wanted->len));
+    replication->host->send (
+        replication->host, message->sender,
+        mr_wire_get (replication->self, (const MrNews *) (void *) wanted->data, wanted->len));
 }
 
 typedef struct
 {
   const MrWireMessage *list;
   GHashTable *versions; /* "<kind>/<name>" -> MrNews of the list */
-  GArray *news;         /* MrNews: what the list's sender lacks */
-} Lacking;
+  GArray *news;         /* MrNews: objects that the list's sender lacks */
+} MissingAtPeer;
 
 static void
-S_add_lacking (const MrObject *object, void *user)
+S_add_missing_at_peer (const MrObject *object, void *user)
 {
-  Lacking *lacking = user;
-  if (!mr_hash_range_contains (lacking->list->range, object->key_hash))
+  MissingAtPeer *missing = user;
+  if (!mr_hash_range_contains (missing->list->range, object->key_hash))
     return;
   g_autofree char *key = S_key (object->kind, mr_text (object->name));
-  const MrNews *theirs = g_hash_table_lookup (lacking->versions, key);
+  const MrNews *theirs = g_hash_table_lookup (missing->versions, key);
   MrNews news = S_news (object);
   if (!theirs || theirs->version < object->version)
-    g_array_append_val (lacking->news, news);
+    g_array_append_val (missing->news, news);
 }
 
-/* Tells the sender of a list what it holds in an older version or not at all. */
+/* Announces to the sender of a list the objects that it lacks or holds in an older version. */
 static void
-S_tell_lacking (MrReplication *spread, const MrWireMessage *message)
+S_announce_missing (MrReplication *replication, const MrWireMessage *message)
 {
-  Lacking lacking = {
+  MissingAtPeer missing = {
     .list = message,
     .versions = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL),
     .news = g_array_new (FALSE, FALSE, sizeof (MrNews)),
   };
   for (guint i = 0; i < message->news_count; i++)
-    g_hash_table_replace (lacking.versions,
+    g_hash_table_replace (missing.versions,
                           S_key (message->news[i].kind, mr_text (message->news[i].name)),
                           &message->news[i]);
-  mr_registry_foreach (spread->registry, S_add_lacking, &lacking);
-  if (lacking.news->len > 0)
-    spread->host->send (spread->host, message->sender,
-                        mr_wire_news (spread->self, (const MrNews *) (void *) lacking.news->data,
-                                      lacking.news->len));
-  g_hash_table_unref (lacking.versions);
-  g_array_unref (lacking.news);
+  mr_registry_foreach (replication->registry, S_add_missing_at_peer, &missing);
+  if (missing.news->len > 0)
+    replication->host->send (replication->host, message->sender,
+                             mr_wire_news (replication->self,
+                                           (const MrNews *) (void *) missing.news->data,
+                                           missing.news->len));
+  g_hash_table_unref (missing.versions);
+  g_array_unref (missing.news);
 }
 
 static gboolean
-S_may_list_all (MrReplication *spread, MrTime now)
+S_may_send_full_list (MrReplication *replication, MrTime now)
 {
-  if (now - spread->listed_at >= ASK_GAP)
+  if (now - replication->list_interval_start >= LIST_REQUEST_GAP)
     {
-      spread->listed_at = now;
-      spread->listed = 0;
+      replication->list_interval_start = now;
+      replication->full_lists_sent = 0;
     }
-  return ++spread->listed <= LISTS_AT_ONCE;
+  return ++replication->full_lists_sent <= FULL_LISTS_MAX;
 }
 
 static void
-S_on_list (MrReplication *spread, MrTime now, const MrWireMessage *message)
+S_on_list (MrReplication *replication, MrTime now, const MrWireMessage *message)
 {
-  /* Its sender holds nothing: it has just started, and asks for all. */
+  /* An empty list of the whole range is the request of a daemon that has just started. */
   if (message->range.bits == 0 && message->news_count == 0)
     {
-      if ((spread->complete || spread->synced) && mr_registry_count (spread->registry) > 0 &&
-          S_may_list_all (spread, now))
-        S_send_list (spread, message->sender, EVERYTHING);
+      if ((replication->complete || replication->synced) &&
+          mr_registry_count (replication->registry) > 0 && S_may_send_full_list (replication, now))
+        S_send_list (replication, message->sender, FULL_RANGE);
       return;
     }
-  S_get_newer (spread, now, message);
-  S_tell_lacking (spread, message);
+  S_fetch_newer (replication, now, message);
+  S_announce_missing (replication, message);
 }
 
 static void
-S_on_get (MrReplication *spread, const MrWireMessage *message)
+S_on_get (MrReplication *replication, const MrWireMessage *message)
 {
   g_autoptr (GPtrArray) found = g_ptr_array_new ();
   gsize bytes = 0;
   for (guint i = 0; i < message->news_count; i++)
     {
       const MrNews *news = &message->news[i];
-      const MrObject *object = mr_registry_get (spread->registry, news->kind, news->name);
+      const MrObject *object = mr_registry_get (replication->registry, news->kind, news->name);
       if (object)
         g_ptr_array_add (found, (gpointer) object);
       bytes += object ? object->body->len : 0;
-      if (found->len == 0 || (bytes < OBJECTS_BYTES && i + 1 < message->news_count))
+      if (found->len == 0 || (bytes < BODY_BYTES_MAX && i + 1 < message->news_count))
         continue;
-      spread->host->send (
-          spread->host, message->sender,
-          mr_wire_objects (spread->self, (const MrObject *const *) found->pdata, found->len));
+      replication->host->send (
+          replication->host, message->sender,
+          mr_wire_objects (replication->self, (const MrObject *const *) found->pdata, found->len));
       g_ptr_array_set_size (found, 0);
       bytes = 0;
     }
 }
 
 static void
-S_on_objects (MrReplication *spread, MrTime now, const MrWireMessage *message)
+S_on_objects (MrReplication *replication, MrTime now, const MrWireMessage *message)
 {
-  spread->fetch_at = now;
+  replication->last_fetch = now;
   for (guint i = 0; i < message->object_count; i++)
     {
       const MrNews *news = &message->objects[i].news;
-      mr_replication_offer (spread, news->kind, mr_text (news->name), news->version,
+      mr_replication_offer (replication, news->kind, mr_text (news->name), news->version,
                             message->objects[i].body, message->sender);
     }
 }
 
 void
-mr_replication_receive (MrReplication *spread, MrTime now, const MrWireMessage *message)
+mr_replication_receive (MrReplication *replication, MrTime now, const MrWireMessage *message)
 {
   if (message->type == MR_WIRE_NEWS)
-    S_get_newer (spread, now, message);
+    S_fetch_newer (replication, now, message);
   else if (message->type == MR_WIRE_LIST)
-    S_on_list (spread, now, message);
+    S_on_list (replication, now, message);
   else if (message->type == MR_WIRE_RANGES)
-    S_on_ranges (spread, message);
+    S_on_ranges (replication, message);
   else if (message->type == MR_WIRE_GET)
-    S_on_get (spread, message);
+    S_on_get (replication, message);
   else if (message->type == MR_WIRE_OBJECTS)
-    S_on_objects (spread, now, message);
+    S_on_objects (replication, now, message);
 }
 
-/* TRUE if what @differs from here may be on its way. */
+/* TRUE if the difference may be due to announcements on their way. Updates the stored @digest. */
 static gboolean
-S_is_moving (MrReplication *spread, MrTime now, Differs *differs, guint64 digest)
+S_is_changing (MrReplication *replication, MrTime now, DigestDifference *difference, guint64 digest)
 {
-  gboolean other_moves = differs->digest != digest;
-  differs->digest = digest;
-  return other_moves || (spread->taken_at != 0 && now - spread->taken_at < SETTLED);
+  gboolean peer_is_changing = difference->digest != digest;
+  difference->digest = digest;
+  return peer_is_changing ||
+         (replication->last_stored != 0 && now - replication->last_stored < SETTLE_TIME);
 }
 
-/* TRUE if a comparison with @from, whose digest is another, is due. */
+/* TRUE if a comparison with @from is due, given that its @digest differs. */
 static gboolean
-S_compare_due (MrReplication *spread, MrTime now, const char *from, guint64 digest)
+S_is_compare_due (MrReplication *replication, MrTime now, const char *from, guint64 digest)
 {
-  Differs *differs = g_hash_table_lookup (spread->differs, from);
-  if (!differs)
+  DigestDifference *difference = g_hash_table_lookup (replication->differences, from);
+  if (!difference)
     {
-      differs = g_new (Differs, 1);
-      *differs = (Differs){ .since = now, .digest = digest };
-      g_hash_table_insert (spread->differs, g_strdup (from), differs);
+      difference = g_new (DigestDifference, 1);
+      *difference = (DigestDifference){ .since = now, .digest = digest };
+      g_hash_table_insert (replication->differences, g_strdup (from), difference);
     }
-  /* A process that has just started waits for what the comparison brings. */
-  MrTime patience = spread->synced ? COMPARE_GAP : 0;
-  if (S_is_moving (spread, now, differs, digest))
-    patience = COMPARE_GAP_MOVING;
-  if (now - differs->since < patience || !S_once_in (spread->compared, from, now, COMPARE_GAP))
+  /* A daemon that has just started does not wait, because it needs the result of the comparison. */
+  MrTime wait = replication->synced ? COMPARE_GAP : 0;
+  if (S_is_changing (replication, now, difference, digest))
+    wait = COMPARE_GAP_CHANGING;
+  if (now - difference->since < wait ||
+      !S_is_allowed_after (replication->request_times, from, now, COMPARE_GAP))
     return FALSE;
-  if (patience == COMPARE_GAP_MOVING)
-    differs->since = now;
+  if (wait == COMPARE_GAP_CHANGING)
+    difference->since = now;
   return TRUE;
 }
 
 void
 mr_replication_receive_digest (
-    MrReplication *spread, MrTime now, const char *from, guint64 digest, gboolean starts)
+    MrReplication *replication, MrTime now, const char *from, guint64 digest, gboolean starts)
 {
-  if (spread->taken)
-    spread->taken_at = now;
-  spread->taken = FALSE;
-  if (digest == mr_registry_digest (spread->registry))
+  if (replication->object_stored)
+    replication->last_stored = now;
+  replication->object_stored = FALSE;
+  if (digest == mr_registry_digest (replication->registry))
     {
-      g_hash_table_remove (spread->differs, from);
-      spread->synced = spread->synced || (!starts && mr_registry_count (spread->registry) > 0);
+      g_hash_table_remove (replication->differences, from);
+      replication->synced =
+          replication->synced || (!starts && mr_registry_count (replication->registry) > 0);
       return;
     }
-  if (mr_registry_count (spread->registry) == 0)
-    mr_replication_request_list (spread, now, from);
-  else if (S_compare_due (spread, now, from, digest))
-    S_send_ranges (spread, from, EVERYTHING);
+  if (mr_registry_count (replication->registry) == 0)
+    mr_replication_request_list (replication, now, from);
+  else if (S_is_compare_due (replication, now, from, digest))
+    S_send_ranges (replication, from, FULL_RANGE);
 }
 
 void
-mr_replication_request_list (MrReplication *spread, MrTime now, const char *name)
+mr_replication_request_list (MrReplication *replication, MrTime now, const char *name)
 {
-  if (spread->synced || mr_replication_is_fetching (spread, now) ||
-      !S_once_in (spread->compared, name, now, ASK_GAP))
+  if (replication->synced || mr_replication_is_fetching (replication, now) ||
+      !S_is_allowed_after (replication->request_times, name, now, LIST_REQUEST_GAP))
     return;
-  g_hash_table_add (spread->lenders, g_strdup (name));
-  spread->host->send (spread->host, name, mr_wire_list (spread->self, EVERYTHING, NULL, 0));
+  g_hash_table_add (replication->list_sources, g_strdup (name));
+  replication->host->send (replication->host, name,
+                           mr_wire_list (replication->self, FULL_RANGE, NULL, 0));
 }
 
 void
-mr_replication_set_complete (MrReplication *spread)
+mr_replication_set_complete (MrReplication *replication)
 {
-  spread->complete = TRUE;
+  replication->complete = TRUE;
 }
 
 gboolean
-mr_replication_is_fetching (const MrReplication *spread, MrTime now)
+mr_replication_is_fetching (const MrReplication *replication, MrTime now)
 {
-  return g_hash_table_size (spread->missing) > 0 && now - spread->fetch_at < GET_GAP;
+  return g_hash_table_size (replication->missing_bodies) > 0 &&
+         now - replication->last_fetch < FETCH_GAP;
 }
 
 gboolean
-mr_replication_is_synced (const MrReplication *spread)
+mr_replication_is_synced (const MrReplication *replication)
 {
-  return spread->synced;
+  return replication->synced;
 }
--- a/src/replication.h
+++ b/src/replication.h
@@ -1,10 +1,10 @@
-/* Spread of objects between daemons: versions are told, bodies are fetched.
+/* Replication of objects between daemons: versions are announced, bodies are fetched.
  *
- * A daemon that learns new versions tells its neighbours, a few milliseconds' worth
- * in one message; who lacks some asks the teller for the bodies.  Heartbeats carry a
- * digest of all versions.  Two daemons whose digests differ for longer than news take
- * narrow down what it is that differs, by digests of ranges, so what a lost message
- * left out is made good.  The platform is asked by a few daemons only. */
+ * A daemon that learns of new versions announces them to its neighbours, batched over a few
+ * milliseconds. A neighbour that lacks some of them fetches the bodies from the announcing
+ * daemon. Heartbeats carry a digest of all versions. If the digests of two daemons differ for
+ * longer than an announcement takes to arrive, they compare digests of hash ranges to find the
+ * differing objects, which repairs the loss of messages. Only a few daemons read the platform. */
 #pragma once
 
 #include "clock.h"
@@ -16,45 +16,49 @@
 
 struct _MrReplicationHost
 {
-  /* Sends @bytes, which it takes, to the member @name. */
+  /* Sends @bytes to the member @name. Takes ownership of @bytes. */
   void (*send) (MrReplicationHost *host, const char *name, GString *bytes);
-  /* Names of up to MR_NEIGHBOURS_MAX members to tell; returns how many. */
+  /* Stores the names of up to MR_NEIGHBOURS_MAX members that receive announcements; returns
+   * their count. */
   guint (*neighbours) (MrReplicationHost *host, const char **names);
-  /* @object has just been taken. */
+  /* The registry has stored a new version of @object. */
   void (*updated) (MrReplicationHost *host, const MrObject *object);
 };
 
 MrReplication *mr_replication_new (MrReplicationHost *host, MrRegistry *registry, const char *self);
-void mr_replication_free (MrReplication *spread);
+void mr_replication_free (MrReplication *replication);
 
-/* An object from the platform or, with @from, from a peer. */
-MrOfferResult mr_replication_offer (MrReplication *spread,
+/* Offers an object that was received from the peer @from, or from the platform if @from is NULL. */
+MrOfferResult mr_replication_offer (MrReplication *replication,
                                     MrObjectKind kind,
                                     MrText name,
                                     guint64 version,
                                     MrText body,
                                     const char *from);
 
-/* Messages NEWS, GET, OBJECTS, LIST and RANGES of a peer. */
-void mr_replication_receive (MrReplication *spread, MrTime now, const MrWireMessage *message);
+/* Handles a NEWS, GET, OBJECTS, LIST or RANGES message from a peer. */
+void mr_replication_receive (MrReplication *replication, MrTime now, const MrWireMessage *message);
 
-/* Asks @name for the list of all that it holds, unless one has come already. */
-void mr_replication_request_list (MrReplication *spread, MrTime now, const char *name);
+/* Requests the list of all objects that @name holds, unless this daemon is already
+ * synchronised or receiving such a list. */
+void mr_replication_request_list (MrReplication *replication, MrTime now, const char *name);
 
-/* A heartbeat of @from carried @digest; @starts: it may lack a part of what there is. */
+/* Compares the registry with @digest from a heartbeat of @from. @starts is TRUE while the
+ * sender is still starting and may hold only some of the objects. */
 void mr_replication_receive_digest (
-    MrReplication *spread, MrTime now, const char *from, guint64 digest, gboolean starts);
+    MrReplication *replication, MrTime now, const char *from, guint64 digest, gboolean starts);
 
-/* Tells what has been gathered.  Returns when to come back; MR_NEVER if there is
- * nothing to tell. */
-MrTime mr_replication_tick (MrReplication *spread, MrTime now);
+/* Announces the pending changes once they are due. Returns the time of the next call, or
+ * MR_NEVER if no change is pending. */
+MrTime mr_replication_tick (MrReplication *replication, MrTime now);
 
-/* This daemon holds all that there is: it has read the platform, or what a peer holds.
- * Until then it sends nobody its whole list, which would be taken for all. */
-void mr_replication_set_complete (MrReplication *spread);
+/* Marks the registry as complete: everything was read from the platform or from a peer. Until
+ * then this daemon sends nobody its full list, since the receiver would take that as complete. */
+void mr_replication_set_complete (MrReplication *replication);
 
-/* TRUE while the objects of a peer's list come in. */
-gboolean mr_replication_is_fetching (const MrReplication *spread, MrTime now);
+/* TRUE while the objects of a peer's list are being received. */
+gboolean mr_replication_is_fetching (const MrReplication *replication, MrTime now);
 
-/* TRUE once a peer with objects had the same digest as ours. */
-gboolean mr_replication_is_synced (const MrReplication *spread);
+/* TRUE once this daemon has fetched a peer's full list, or a peer that has finished starting
+ * sent the same digest as that of a non-empty local registry. */
+gboolean mr_replication_is_synced (const MrReplication *replication);
