--- a/src/configuration.c
+++ b/src/configuration.c
@@ -53,12 +53,12 @@
   g_free (c);
 }
 
-/* Reading.  Each function names the field it could not use. */
+/* Parsing. Each function reports the field that is missing or invalid. */
 
 static MrStatus
-S_wrong (const char *where, const char *field)
+S_fail_field (const char *where, const char *field)
 {
-  return mr_fail (MR_ERROR_INVALID, "configuration: %s: field '%s' is missing or wrong", where,
+  return mr_fail (MR_ERROR_INVALID, "configuration: %s: field '%s' is missing or invalid", where,
                   field);
 }
 
@@ -67,37 +67,38 @@
 {
   const char *text = json_string_value (json_object_get (object, field));
   if (!text || *text == '\0')
-    return S_wrong (where, field);
+    return S_fail_field (where, field);
   *out = g_strdup (text);
   return MR_OK;
 }
 
 static MrStatus
 S_read_number (
-    const json_t *object, const char *where, const char *field, double least, double *out)
+    const json_t *object, const char *where, const char *field, double minimum, double *out)
 {
   const json_t *value = json_object_get (object, field);
-  if (!json_is_number (value) || json_number_value (value) < least)
-    return S_wrong (where, field);
+  if (!json_is_number (value) || json_number_value (value) < minimum)
+    return S_fail_field (where, field);
   *out = json_number_value (value);
   return MR_OK;
 }
 
 static MrStatus
-S_read_part (const json_t *item, MrRoute *route, MrRouteService *part)
+S_read_route_service (const json_t *item, MrRoute *route, MrRouteService *service)
 {
-  part->weight = 1;
+  service->weight = 1;
   if (route->kind != MR_ROUTE_SPLIT)
     {
-      part->service = g_strdup (json_string_value (item));
-      return part->service ? MR_OK : S_wrong (route->name, "shards");
+      service->service = g_strdup (json_string_value (item));
+      return service->service ? MR_OK : S_fail_field (route->name, "shards");
     }
-  MrStatus status = S_read_string (item, route->name, "service", &part->service);
-  return status == MR_OK ? S_read_number (item, route->name, "weight", 0, &part->weight) : status;
+  MrStatus status = S_read_string (item, route->name, "service", &service->service);
+  return status == MR_OK ? S_read_number (item, route->name, "weight", 0, &service->weight)
+                         : status;
 }
 
 static MrStatus
-S_read_parts (const json_t *object, MrRoute *route)
+S_read_route_services (const json_t *object, MrRoute *route)
 {
   json_t *single = json_object_get (object, "service");
   const json_t *split = json_object_get (object, "split");
@@ -106,13 +107,13 @@
   route->kind = shards ? MR_ROUTE_SHARDS : split ? MR_ROUTE_SPLIT : MR_ROUTE_SERVICE;
   route->service_count = list ? (guint) json_array_size (list) : 1;
   if (route->service_count == 0)
-    return S_wrong (route->name, shards ? "shards" : "split");
+    return S_fail_field (route->name, shards ? "shards" : "split");
   route->services = g_new0 (MrRouteService, route->service_count);
   if (!list)
-    return S_read_part (single, route, &route->services[0]);
+    return S_read_route_service (single, route, &route->services[0]);
   for (guint i = 0; i < route->service_count; i++)
     {
-      MrStatus status = S_read_part (json_array_get (list, i), route, &route->services[i]);
+      MrStatus status = S_read_route_service (json_array_get (list, i), route, &route->services[i]);
       if (status != MR_OK)
         return status;
     }
@@ -122,35 +123,35 @@
 static MrStatus
 S_read_route_numbers (const json_t *object, MrRoute *route)
 {
-  double limit = 0;
-  double aim = 0;
-  double attempts = 0;
-  double rank = 0;
-  double top = 0;
-  MrStatus status = S_read_number (object, route->name, "time_limit", 1, &limit);
+  double time_limit = 0;
+  double latency_goal = 0;
+  double attempt_limit = 0;
+  double priority = 0;
+  double top_records = 0;
+  MrStatus status = S_read_number (object, route->name, "time_limit", 1, &time_limit);
   if (status == MR_OK)
-    status = S_read_number (object, route->name, "aim", 1, &aim);
+    status = S_read_number (object, route->name, "aim", 1, &latency_goal);
   if (status == MR_OK)
-    status = S_read_number (object, route->name, "attempts", 1, &attempts);
+    status = S_read_number (object, route->name, "attempts", 1, &attempt_limit);
   if (status == MR_OK)
-    status = S_read_number (object, route->name, "rank", 0, &rank);
+    status = S_read_number (object, route->name, "rank", 0, &priority);
   if (status == MR_OK && route->kind == MR_ROUTE_SHARDS)
     {
-      status = S_read_number (object, route->name, "top_records", 0, &top);
+      status = S_read_number (object, route->name, "top_records", 0, &top_records);
       if (status == MR_OK)
         status = S_read_number (object, route->name, "least_share", 0, &route->min_coverage);
     }
-  route->time_limit = (MrTime) (limit * MR_MS);
-  route->latency_goal = (MrTime) (aim * MR_MS);
-  route->attempt_limit = (guint) attempts;
-  route->priority = (guint) rank;
-  route->top_records = (guint) top;
+  route->time_limit = (MrTime) (time_limit * MR_MS);
+  route->latency_goal = (MrTime) (latency_goal * MR_MS);
+  route->attempt_limit = (guint) attempt_limit;
+  route->priority = (guint) priority;
+  route->top_records = (guint) top_records;
   route->idempotent = json_is_true (json_object_get (object, "repeatable"));
   return status;
 }
 
 static MrStatus
-S_read_homes (const json_t *object, MrRoute *route)
+S_read_home_regions (const json_t *object, MrRoute *route)
 {
   size_t i = 0;
   const json_t *item = NULL;
@@ -158,14 +159,14 @@
   if (!homes)
     return MR_OK;
   if (!json_is_array (homes))
-    return S_wrong (route->name, "homes");
+    return S_fail_field (route->name, "homes");
   if (json_array_size (homes) == 0)
     return MR_OK;
   route->home_regions = g_new0 (char *, json_array_size (homes) + 1);
   json_array_foreach (homes, i, item)
   {
     if (!json_is_string (item))
-      return S_wrong (route->name, "homes");
+      return S_fail_field (route->name, "homes");
     route->home_regions[i] = g_strdup (json_string_value (item));
   }
   return MR_OK;
@@ -182,11 +183,11 @@
   if (status == MR_OK)
     status = S_read_string (object, route->name, "prefix", &route->prefix);
   if (status == MR_OK)
-    status = S_read_parts (object, route);
+    status = S_read_route_services (object, route);
   if (status == MR_OK)
     status = S_read_route_numbers (object, route);
   if (status == MR_OK)
-    status = S_read_homes (object, route);
+    status = S_read_home_regions (object, route);
   if (status != MR_OK)
     return status;
   for (char *at = route->host; *at; at++)
@@ -263,7 +264,7 @@
 }
 
 static MrStatus
-S_read (MrConfiguration *c, const json_t *root)
+S_parse (MrConfiguration *c, const json_t *root)
 {
   double version = 0;
   size_t i = 0;
@@ -306,7 +307,7 @@
   c->hosts =
       g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) g_ptr_array_unref);
   c->services = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, S_service_free);
-  MrStatus status = S_read (c, root);
+  MrStatus status = S_parse (c, root);
   json_decref (root);
   if (status == MR_OK)
     return c;
@@ -326,7 +327,7 @@
   return &c->limits;
 }
 
-/* Routes of @host, longest prefix first; NULL if there are none. */
+/* Returns the routes of @host, longest prefix first, or NULL if there are none. */
 static const GPtrArray *
 S_routes_of (const MrConfiguration *c, MrText host)
 {
@@ -354,18 +355,18 @@
 mr_configuration_home_regions (const MrConfiguration *c, MrText host)
 {
   const GPtrArray *list = S_routes_of (c, host);
-  GHashTable *homes = NULL;
+  GHashTable *regions = NULL;
   for (guint i = 0; list && i < list->len; i++)
     {
       const MrRoute *route = g_ptr_array_index (list, i);
-      for (char **home = route->home_regions; home && *home; home++)
+      for (char **region = route->home_regions; region && *region; region++)
         {
-          if (!homes)
-            homes = g_hash_table_new (g_str_hash, g_str_equal);
-          g_hash_table_add (homes, *home);
+          if (!regions)
+            regions = g_hash_table_new (g_str_hash, g_str_equal);
+          g_hash_table_add (regions, *region);
         }
     }
-  return homes;
+  return regions;
 }
 
 const MrServiceInfo *
--- a/src/controller.c
+++ b/src/controller.c
@@ -6,19 +6,20 @@
 #include "safeguard.h"
 #include <jansson.h>
 
-static const MrTime RETRY_GAP = 1 * MR_SECOND;
-/* A write or read without any result is settled by reading after this. */
-static const MrTime RESULT_WAIT = 10 * MR_SECOND;
+static const MrTime RETRY_DELAY = 1 * MR_SECOND;
+/* If a write or read gets no result within this time, its outcome is determined by reading the
+ * object. */
+static const MrTime RESULT_TIMEOUT = 10 * MR_SECOND;
 
-/* One object that we write. */
+/* State of an object that the controller writes. */
 typedef struct
 {
-  gboolean known; /* its state at the platform has been read */
+  gboolean known; /* the state at the platform has been read */
   guint64 version;
-  gboolean busy;  /* a write or read is out */
-  MrTime due;     /* not before this; while busy: when to give up waiting */
-  GString *wrote; /* body of the write that is out */
-} Slot;
+  gboolean busy;         /* a write or read has been sent */
+  MrTime next_attempt;   /* while busy: when to stop waiting for a result */
+  GString *pending_body; /* body of the pending write */
+} WrittenObject;
 
 typedef struct
 {
@@ -27,29 +28,29 @@
   GString *document; /* empty: deleted */
   gboolean valid;
   char *error;
-  guint64 source; /* document version that is in force */
-  Slot accepted;
-  Slot status;
-  GString *status_body; /* at the platform, as far as known */
-} Entry;
+  guint64 version_in_force; /* version of the document that is in force */
+  WrittenObject accepted;
+  WrittenObject status;
+  GString *status_body; /* at the platform, as last read or written */
+} DocumentState;
 
 struct _MrController
 {
   MrControllerHost *host;
-  GHashTable *entries; /* name -> Entry */
+  GHashTable *documents; /* name -> DocumentState */
 };
 
 static void
-S_entry_free (gpointer data)
+S_document_state_free (gpointer data)
 {
-  Entry *entry = data;
-  g_free (entry->name);
-  g_free (entry->error);
-  g_string_free (entry->document, TRUE);
-  g_string_free (entry->status_body, TRUE);
-  g_string_free (entry->accepted.wrote, TRUE);
-  g_string_free (entry->status.wrote, TRUE);
-  g_free (entry);
+  DocumentState *state = data;
+  g_free (state->name);
+  g_free (state->error);
+  g_string_free (state->document, TRUE);
+  g_string_free (state->status_body, TRUE);
+  g_string_free (state->accepted.pending_body, TRUE);
+  g_string_free (state->status.pending_body, TRUE);
+  g_free (state);
 }
 
 MrController *
@@ -57,7 +58,7 @@
 {
   MrController *c = g_new0 (MrController, 1);
   c->host = host;
-  c->entries = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, S_entry_free);
+  c->documents = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, S_document_state_free);
   return c;
 }
 
@@ -66,29 +67,29 @@
 {
   if (!c)
     return;
-  g_hash_table_unref (c->entries);
+  g_hash_table_unref (c->documents);
   g_free (c);
 }
 
-static Entry *
-S_entry (MrController *c, MrText name)
+static DocumentState *
+S_document_state (MrController *c, MrText name)
 {
   g_autofree char *key = mr_text_dup (name);
-  Entry *entry = g_hash_table_lookup (c->entries, key);
-  if (entry)
-    return entry;
-  entry = g_new0 (Entry, 1);
-  entry->name = g_steal_pointer (&key);
-  entry->document = g_string_new (NULL);
-  entry->status_body = g_string_new (NULL);
-  entry->accepted.wrote = g_string_new (NULL);
-  entry->status.wrote = g_string_new (NULL);
-  g_hash_table_insert (c->entries, entry->name, entry);
-  return entry;
+  DocumentState *state = g_hash_table_lookup (c->documents, key);
+  if (state)
+    return state;
+  state = g_new0 (DocumentState, 1);
+  state->name = g_steal_pointer (&key);
+  state->document = g_string_new (NULL);
+  state->status_body = g_string_new (NULL);
+  state->accepted.pending_body = g_string_new (NULL);
+  state->status.pending_body = g_string_new (NULL);
+  g_hash_table_insert (c->documents, state->name, state);
+  return state;
 }
 
 static void
-S_set (GString *string, MrText text)
+S_set_string (GString *string, MrText text)
 {
   g_string_truncate (string, 0);
   g_string_append_len (string, text.data, (gssize) text.len);
@@ -98,61 +99,61 @@
 mr_controller_document_changed (
     MrController *c, MrText name, guint64 version, MrText body, MrTime not_before)
 {
-  Entry *entry = S_entry (c, name);
-  if (version <= entry->document_version)
+  DocumentState *state = S_document_state (c, name);
+  if (version <= state->document_version)
     return;
-  entry->document_version = version;
-  S_set (entry->document, body);
+  state->document_version = version;
+  S_set_string (state->document, body);
   MrDocument parsed;
-  g_clear_pointer (&entry->error, g_free);
-  entry->valid = body.len == 0 || mr_document_parse (name, body, &parsed) == MR_OK;
-  if (!entry->valid)
+  g_clear_pointer (&state->error, g_free);
+  state->valid = body.len == 0 || mr_document_parse (name, body, &parsed) == MR_OK;
+  if (!state->valid)
     {
-      entry->error = g_strdup (mr_status_message ());
+      state->error = g_strdup (mr_status_message ());
       mr_log (MR_LOG_WARNING, MR_EVENT_DOCUMENT_INVALID,
-              "document %s version %" G_GUINT64_FORMAT " is not accepted: %s", entry->name, version,
-              entry->error);
+              "document %s version %" G_GUINT64_FORMAT " is not accepted: %s", state->name, version,
+              state->error);
     }
-  if (!entry->accepted.busy)
-    entry->accepted.due = not_before;
-  if (!entry->status.busy)
-    entry->status.due = not_before;
+  if (!state->accepted.busy)
+    state->accepted.next_attempt = not_before;
+  if (!state->status.busy)
+    state->status.next_attempt = not_before;
 }
 
-static Slot *
-S_slot (Entry *entry, const char *kind)
+static WrittenObject *
+S_written_object (DocumentState *state, const char *kind)
 {
-  return g_str_equal (kind, "accepted") ? &entry->accepted : &entry->status;
+  return g_str_equal (kind, "accepted") ? &state->accepted : &state->status;
 }
 
 void
 mr_controller_object_read (
     MrController *c, MrTime now, const char *kind, MrText name, guint64 version, MrText body)
 {
-  Entry *entry = S_entry (c, name);
-  Slot *slot = S_slot (entry, kind);
-  if (slot->known && version < slot->version)
+  DocumentState *state = S_document_state (c, name);
+  WrittenObject *object = S_written_object (state, kind);
+  if (object->known && version < object->version)
     {
-      /* A stale read; what we know is newer. */
-      if (slot->busy)
-        slot->due = now + RETRY_GAP;
-      slot->busy = FALSE;
+      /* A stale read; the known version is newer. */
+      if (object->busy)
+        object->next_attempt = now + RETRY_DELAY;
+      object->busy = FALSE;
       return;
     }
-  if (slot->busy)
-    slot->due = now;
-  slot->known = TRUE;
-  slot->version = version;
-  slot->busy = FALSE;
-  if (slot == &entry->status)
+  if (object->busy)
+    object->next_attempt = now;
+  object->known = TRUE;
+  object->version = version;
+  object->busy = FALSE;
+  if (object == &state->status)
     {
-      S_set (entry->status_body, body);
+      S_set_string (state->status_body, body);
       return;
     }
   MrAccepted accepted;
   if (version == 0 || mr_accepted_parse (body, &accepted) != MR_OK)
     return;
-  entry->source = accepted.source;
+  state->version_in_force = accepted.source;
   mr_accepted_clear (&accepted);
 }
 
@@ -160,52 +161,57 @@
 mr_controller_object_written (
     MrController *c, MrTime now, const char *kind, MrText name, MrStatus status, guint64 version)
 {
-  Entry *entry = S_entry (c, name);
-  Slot *slot = S_slot (entry, kind);
-  if (!slot->busy)
+  DocumentState *state = S_document_state (c, name);
+  WrittenObject *object = S_written_object (state, kind);
+  if (!object->busy)
     return;
   if (status == MR_OK)
     {
-      if (slot == &entry->accepted)
+      if (object == &state->accepted)
         mr_log (MR_LOG_NOTICE, MR_EVENT_DOCUMENT_ACCEPTED,
-                "document %s is accepted, version %" G_GUINT64_FORMAT, entry->name, version);
-      mr_controller_object_read (c, now, kind, name, version, mr_text_of (slot->wrote));
+                "document %s is accepted, version %" G_GUINT64_FORMAT, state->name, version);
+      mr_controller_object_read (c, now, kind, name, version, mr_text_of (object->pending_body));
       return;
     }
   if (status == MR_ERROR_UNAVAIL)
     {
-      slot->busy = FALSE;
-      slot->due = now + RETRY_GAP;
+      object->busy = FALSE;
+      object->next_attempt = now + RETRY_DELAY;
       return;
     }
-  /* Lost race, or the reply was lost and the write may stand: only the platform
-   * knows, so read before anything else is written. */
+  /* Either another controller won the race, or the reply was lost and the write may have
+   * succeeded. Only the platform knows, so the object is read before anything else is written. */
   if (status == MR_ERROR_UNSURE)
-    mr_log (MR_LOG_NOTICE, MR_EVENT_WRITE_UNSURE, "write of %s/%s unsure; reading back", kind,
-            entry->name);
-  slot->due = now + RESULT_WAIT;
-  c->host->read (c->host, kind, entry->name);
+    mr_log (MR_LOG_NOTICE, MR_EVENT_WRITE_UNSURE,
+            "outcome of the write of %s/%s is unknown; reading it back", kind, state->name);
+  object->next_attempt = now + RESULT_TIMEOUT;
+  c->host->read (c->host, kind, state->name);
 }
 
 static void
-S_write (MrController *c, MrTime now, Entry *entry, const char *kind, Slot *slot, GString *body)
+S_write (MrController *c,
+         MrTime now,
+         DocumentState *state,
+         const char *kind,
+         WrittenObject *object,
+         GString *body)
 {
-  slot->busy = TRUE;
-  slot->due = now + RESULT_WAIT;
-  S_set (slot->wrote, mr_text_of (body));
+  object->busy = TRUE;
+  object->next_attempt = now + RESULT_TIMEOUT;
+  S_set_string (object->pending_body, mr_text_of (body));
   g_string_free (body, TRUE);
-  /* Without the version that was read, a controller that was held up would
-   * overwrite what another has accepted since, and force would go back. */
-  guint64 expected = MR_SAFEGUARD (MR_GUARD_CONDITIONAL) ? slot->version : MR_VERSION_ANY;
-  c->host->write (c->host, kind, entry->name, expected, mr_text_of (slot->wrote));
+  /* An unconditional write by a delayed controller would overwrite what another one has
+   * accepted meanwhile, and the configuration in force would revert. */
+  guint64 expected = MR_SAFEGUARD (MR_GUARD_CONDITIONAL) ? object->version : MR_VERSION_ANY;
+  c->host->write (c->host, kind, state->name, expected, mr_text_of (object->pending_body));
 }
 
 static GString *
-S_status_text (const Entry *entry)
+S_status_text (const DocumentState *state)
 {
-  json_t *root = json_pack ("{s:I, s:b, s:I, s:s?}", "document_version",
-                            (json_int_t) entry->document_version, "valid", (int) entry->valid,
-                            "in_force", (json_int_t) entry->source, "error", entry->error);
+  json_t *root = json_pack (
+      "{s:I, s:b, s:I, s:s?}", "document_version", (json_int_t) state->document_version, "valid",
+      (int) state->valid, "in_force", (json_int_t) state->version_in_force, "error", state->error);
   char *text = json_dumps (root, JSON_COMPACT);
   GString *out = g_string_new (text);
   free (text);
@@ -213,68 +219,69 @@
   return out;
 }
 
-/* TRUE if a newer controller's word stands at the platform already. */
+/* TRUE if the status at the platform is already up to date, or was written by a controller
+ * that knows a newer state. */
 static gboolean
-S_status_stands (const Entry *entry, const GString *wanted)
+S_status_is_current (const DocumentState *state, const GString *wanted)
 {
-  if (g_string_equal (entry->status_body, wanted))
+  if (g_string_equal (state->status_body, wanted))
     return TRUE;
-  json_t *root = json_loadb (entry->status_body->str, entry->status_body->len, 0, NULL);
+  json_t *root = json_loadb (state->status_body->str, state->status_body->len, 0, NULL);
   guint64 version = (guint64) json_integer_value (json_object_get (root, "document_version"));
   guint64 in_force = (guint64) json_integer_value (json_object_get (root, "in_force"));
   json_decref (root);
-  return version > entry->document_version ||
-         (version == entry->document_version && in_force > entry->source);
+  return version > state->document_version ||
+         (version == state->document_version && in_force > state->version_in_force);
 }
 
 static gboolean
-S_wants_accept (const Entry *entry)
+S_should_accept (const DocumentState *state)
 {
-  /* An invalid document in force would change limits to nonsense everywhere at
-   * once; it stays out and its error stands in the status. */
-  gboolean valid = entry->valid || !MR_SAFEGUARD (MR_GUARD_VALIDATE);
-  return valid && entry->document_version > entry->source;
+  /* An invalid document in force would set nonsensical limits on all daemons at once. It is
+   * not accepted, and the status object holds its error. */
+  gboolean valid = state->valid || !MR_SAFEGUARD (MR_GUARD_VALIDATE);
+  return valid && state->document_version > state->version_in_force;
 }
 
-/* TRUE if the slot may be written now; starts a read if its state is unknown.
- */
+/* TRUE if the object may be written now. Starts a read if its state is unknown. */
 static gboolean
-S_slot_ready (MrController *c, MrTime now, Entry *entry, const char *kind, Slot *slot)
+S_may_write (
+    MrController *c, MrTime now, DocumentState *state, const char *kind, WrittenObject *object)
 {
-  if (now < slot->due)
+  if (now < object->next_attempt)
     return FALSE;
-  if (slot->known && !slot->busy)
+  if (object->known && !object->busy)
     return TRUE;
-  slot->busy = TRUE;
-  slot->due = now + RESULT_WAIT;
-  c->host->read (c->host, kind, entry->name);
+  object->busy = TRUE;
+  object->next_attempt = now + RESULT_TIMEOUT;
+  c->host->read (c->host, kind, state->name);
   return FALSE;
 }
 
 static void
-S_tick_entry (MrController *c, MrTime now, Entry *entry, MrTime *next)
+S_tick_document (MrController *c, MrTime now, DocumentState *state, MrTime *next)
 {
-  if (entry->document_version == 0)
+  if (state->document_version == 0)
     return;
-  if (S_wants_accept (entry))
+  if (S_should_accept (state))
     {
-      if (S_slot_ready (c, now, entry, "accepted", &entry->accepted))
-        S_write (c, now, entry, "accepted", &entry->accepted,
-                 mr_accepted_encode (entry->document_version, mr_text_of (entry->document)));
-      *next = MIN (*next, entry->accepted.due);
+      if (S_may_write (c, now, state, "accepted", &state->accepted))
+        S_write (c, now, state, "accepted", &state->accepted,
+                 mr_accepted_encode (state->document_version, mr_text_of (state->document)));
+      *next = MIN (*next, state->accepted.next_attempt);
       return;
     }
-  GString *wanted = S_status_text (entry);
-  if (S_status_stands (entry, wanted))
+  GString *wanted = S_status_text (state);
+  if (S_status_is_current (state, wanted))
     {
       g_string_free (wanted, TRUE);
       return;
     }
-  if (S_slot_ready (c, now, entry, "status", &entry->status))
-    S_write (c, now, entry, "status", &entry->status, wanted);
+  if (S_may_write (c, now, state, "status", &state->status))
+    S_write (c, now, state, "status", &state->status, wanted);
   else
     g_string_free (wanted, TRUE);
-  *next = MIN (*next, entry->status.due);
+  *next = MIN (*next, state->status.next_attempt);
 }
 
 MrTime
@@ -282,9 +289,9 @@
 {
   MrTime next = MR_NEVER;
   GHashTableIter iter;
-  gpointer entry = NULL;
-  g_hash_table_iter_init (&iter, c->entries);
-  while (g_hash_table_iter_next (&iter, NULL, &entry))
-    S_tick_entry (c, now, entry, &next);
+  gpointer state = NULL;
+  g_hash_table_iter_init (&iter, c->documents);
+  while (g_hash_table_iter_next (&iter, NULL, &state))
+    S_tick_document (c, now, state, &next);
   return next;
 }
--- a/src/platform_codec.c
+++ b/src/platform_codec.c
@@ -55,7 +55,7 @@
 }
 
 static void
-S_read_answer (MrPlatformResult *result, MrText body)
+S_decode_response (MrPlatformResult *result, MrText body)
 {
   json_t *root = json_loadb (body.data, body.len, 0, NULL);
   size_t i = 0;
@@ -96,14 +96,14 @@
 }
 
 static void
-S_read (MrPlatformResult *result, int http_status, MrText body)
+S_decode (MrPlatformResult *result, int http_status, MrText body)
 {
   result->status = (int) S_status (result->request, http_status);
-  S_read_answer (result, body);
+  S_decode_response (result, body);
 }
 
 static void
-S_write (const MrPlatformRequest *request, MrPlatformCall *call)
+S_encode (const MrPlatformRequest *request, MrPlatformCall *call)
 {
   *call = (MrPlatformCall){
     .method = request->action == MR_PLATFORM_WRITE ? "PUT" : "GET",
@@ -113,4 +113,4 @@
   };
 }
 
-const MrPlatformCodec mr_platform_codec = { .encode = S_write, .decode = S_read };
+const MrPlatformCodec mr_platform_codec = { .encode = S_encode, .decode = S_decode };
--- a/src/platform_codec.h
+++ b/src/platform_codec.h
@@ -1,8 +1,8 @@
-/* How calls to the platform's object store read on the wire.
+/* Encoding of calls to the platform's object store.
  *
- * The one store client (platform_task.c) sends and times the calls; a codec
- * writes them and reads the answers, so that another store of the same meaning
- * is one file. */
+ * The store client (platform_task.c) sends the calls and enforces their timeouts. A codec
+ * builds the requests and parses the responses, so that support for another store with the
+ * same semantics takes one file. */
 #pragma once
 
 #include "message.h"
@@ -17,11 +17,11 @@
 
 typedef struct
 {
-  /* Fills @call, whose path and body are new. */
+  /* Fills @call. The caller frees its path and body. */
   void (*encode) (const MrPlatformRequest *request, MrPlatformCall *call);
-  /* Reads a whole answer into @result, whose status it sets. */
+  /* Parses a complete response into @result and sets the status of @result. */
   void (*decode) (MrPlatformResult *result, int http_status, MrText body);
 } MrPlatformCodec;
 
-/* The product's own form, docs/PLATFORM-API.md. */
+/* Codec for this product's own object API, docs/PLATFORM-API.md. */
 extern const MrPlatformCodec mr_platform_codec;
--- a/src/platform_task.c
+++ b/src/platform_task.c
@@ -4,11 +4,11 @@
 
 enum
 {
-  LANES = 16, /* calls at once, watches included */
+  LANES = 16, /* concurrent calls, including watches */
 };
 
-/* Time a call may take over its own waiting time. */
-static const MrTime CALL_WAIT = 2 * MR_SECOND;
+/* Timeout of a call, in addition to the wait that the request itself asks for. */
+static const MrTime CALL_TIMEOUT = 2 * MR_SECOND;
 
 typedef struct
 {
@@ -16,8 +16,8 @@
   MrPlatformRequest *request;
   MrHttpCall *call;
   guint lane;
-  MrTime give_up_at;
-} Exchange;
+  MrTime deadline;
+} PendingCall;
 
 struct _MrPlatformTask
 {
@@ -28,13 +28,13 @@
   MrMailbox *results;
   char *ip;
   int port;
-  Exchange *lanes[LANES];
+  PendingCall *lanes[LANES];
   GQueue waiting; /* MrPlatformRequest */
 };
 
-/* A write that got no answer may stand at the platform all the same. */
+/* A write without an answer may still have been applied by the platform. */
 static MrStatus
-S_lost_status (const MrPlatformRequest *request, const MrHttpAnswer *answer)
+S_status_without_answer (const MrPlatformRequest *request, const MrHttpAnswer *answer)
 {
   if (answer && answer->outcome == MR_HTTP_REFUSED)
     return MR_ERROR_UNAVAIL;
@@ -45,41 +45,41 @@
 S_post (MrPlatformTask *task, MrPlatformRequest *request, const MrHttpAnswer *answer)
 {
   MrPlatformResult *result =
-      mr_platform_result_new (request, (int) S_lost_status (request, answer));
+      mr_platform_result_new (request, (int) S_status_without_answer (request, answer));
   if (answer && answer->outcome == MR_HTTP_OK)
     task->codec->decode (result, answer->status, answer->body);
   mr_mailbox_post (task->results, &result->base);
 }
 
 static void
-S_end (Exchange *exchange, const MrHttpAnswer *answer)
+S_finish_call (PendingCall *pending, const MrHttpAnswer *answer)
 {
-  MrPlatformTask *task = exchange->task;
-  task->lanes[exchange->lane] = NULL;
-  S_post (task, exchange->request, answer);
-  g_free (exchange);
+  MrPlatformTask *task = pending->task;
+  task->lanes[pending->lane] = NULL;
+  S_post (task, pending->request, answer);
+  g_free (pending);
 }
 
 static gboolean
-S_done (void *user, const MrHttpAnswer *answer)
+S_on_answer (void *user, const MrHttpAnswer *answer)
 {
-  S_end (user, answer);
+  S_finish_call (user, answer);
   return TRUE;
 }
 
 static void
-S_start (MrPlatformTask *task, MrPlatformRequest *request, guint lane)
+S_start_call (MrPlatformTask *task, MrPlatformRequest *request, guint lane)
 {
   MrPlatformCall call = { 0 };
   task->codec->encode (request, &call);
   g_autofree char *path = call.path;
   g_autoptr (GString) body = call.body;
-  Exchange *exchange = g_new0 (Exchange, 1);
-  *exchange = (Exchange){
+  PendingCall *pending = g_new0 (PendingCall, 1);
+  *pending = (PendingCall){
     .task = task,
     .request = request,
     .lane = lane,
-    .give_up_at = mr_now () + CALL_WAIT + request->wait_ms * MR_MS,
+    .deadline = mr_now () + CALL_TIMEOUT + request->wait_ms * MR_MS,
   };
   MrHttpCallInfo info = {
     .method = call.method,
@@ -88,29 +88,29 @@
     .lane = lane,
     .path = path,
     .body = body ? mr_text_of (body) : (MrText){ 0 },
-    .done = S_done,
-    .user = exchange,
+    .done = S_on_answer,
+    .user = pending,
   };
   gboolean maybe_sent = FALSE;
-  exchange->call = mr_http_client_call (task->client, &info, &maybe_sent);
-  if (exchange->call)
+  pending->call = mr_http_client_call (task->client, &info, &maybe_sent);
+  if (pending->call)
     {
-      task->lanes[lane] = exchange;
+      task->lanes[lane] = pending;
       return;
     }
   MrHttpAnswer refused = { .outcome = maybe_sent ? MR_HTTP_BROKEN : MR_HTTP_REFUSED };
-  g_free (exchange);
+  g_free (pending);
   S_post (task, request, &refused);
 }
 
-/* Sends from the tick, not from a callback: there the lane that has just come
- * free can't take another call yet. */
+/* Runs in the tick rather than in a callback, where the lane that has just completed cannot
+ * take another call yet. */
 static void
 S_send_waiting (MrPlatformTask *task)
 {
   for (guint lane = 0; lane < LANES && !g_queue_is_empty (&task->waiting); lane++)
     if (!task->lanes[lane])
-      S_start (task, g_queue_pop_head (&task->waiting), lane);
+      S_start_call (task, g_queue_pop_head (&task->waiting), lane);
 }
 
 static void
@@ -133,16 +133,16 @@
   S_send_waiting (task);
   for (guint lane = 0; lane < LANES; lane++)
     {
-      Exchange *exchange = task->lanes[lane];
-      if (!exchange)
+      PendingCall *pending = task->lanes[lane];
+      if (!pending)
         continue;
-      if (now >= exchange->give_up_at)
+      if (now >= pending->deadline)
         {
-          mr_http_client_abort (exchange->call);
-          S_end (exchange, NULL);
+          mr_http_client_abort (pending->call);
+          S_finish_call (pending, NULL);
         }
       else
-        next = MIN (next, exchange->give_up_at);
+        next = MIN (next, pending->deadline);
     }
   return next;
 }
--- a/src/platform_task.h
+++ b/src/platform_task.h
@@ -1,7 +1,7 @@
-/* Task that speaks to the platform's object API (docs/PLATFORM-API.md).
+/* Task that calls the platform's object API (docs/PLATFORM-API.md).
  *
- * Takes MrPlatformRequest messages and posts one MrPlatformResult for each. It
- * decides nothing; a slow or dead platform stalls only this task's calls. */
+ * It takes MrPlatformRequest messages and posts one MrPlatformResult for each. It makes no
+ * decisions; a slow or unreachable platform delays only the calls of this task. */
 #pragma once
 
 #include "loop.h"
@@ -9,7 +9,7 @@
 
 typedef struct _MrPlatformTask MrPlatformTask;
 
-/* @results: where results go. */
+/* @results: mailbox for the results. */
 MrPlatformTask *
 mr_platform_task_new (const char *ip, int port, const MrPlatformCodec *codec, MrMailbox *results);
 void mr_platform_task_free (MrPlatformTask *task);
