--- a/src/control_evacuation.c
+++ b/src/control_evacuation.c
@@ -4,19 +4,19 @@
 #include "log.h"
 
 static void
-S_offer (MrControlTask *task, const char *domain, guint64 version)
+S_offer_evacuation (MrControlTask *task, const char *domain, guint64 version)
 {
   mr_replication_offer (task->replication, MR_OBJECT_EVACUATION, mr_text (domain), version,
                         (MrText){ 0 }, NULL);
 }
 
-/* What the object says is of no matter: it stands until it is removed. */
+/* The body is ignored: an evacuation is active for as long as its object exists. */
 void
 mr_control_evacuation_read_from_store (MrControlTask *task, const MrPlatformObject *object)
 {
   if (!object->deleted)
     g_hash_table_add (task->listed_evacuations, g_strdup (object->name));
-  S_offer (task, object->name, mr_evacuation_version (object->version, object->deleted));
+  S_offer_evacuation (task, object->name, mr_evacuation_version (object->version, object->deleted));
 }
 
 void
@@ -29,7 +29,7 @@
 typedef struct
 {
   const MrControlTask *task;
-  GPtrArray *over; /* names */
+  GPtrArray *ended; /* names */
 } Unlisted;
 
 static void
@@ -40,26 +40,27 @@
   if (mr_evacuation_is_active (object->version) &&
       object->version < task->evacuation_listing_version &&
       !g_hash_table_contains (task->listed_evacuations, object->name))
-    g_ptr_array_add (unlisted->over, g_strdup (object->name));
+    g_ptr_array_add (unlisted->ended, g_strdup (object->name));
 }
 
 void
 mr_control_evacuation_end_listing (MrControlTask *task)
 {
-  Unlisted unlisted = { .task = task, .over = g_ptr_array_new_with_free_func (g_free) };
+  Unlisted unlisted = { .task = task, .ended = g_ptr_array_new_with_free_func (g_free) };
   mr_registry_foreach_of_kind (task->registry, MR_OBJECT_EVACUATION, S_add_unlisted, &unlisted);
-  for (guint i = 0; i < unlisted.over->len; i++)
-    S_offer (task, g_ptr_array_index (unlisted.over, i), task->evacuation_listing_version);
-  g_ptr_array_unref (unlisted.over);
+  for (guint i = 0; i < unlisted.ended->len; i++)
+    S_offer_evacuation (task, g_ptr_array_index (unlisted.ended, i),
+                        task->evacuation_listing_version);
+  g_ptr_array_unref (unlisted.ended);
   g_hash_table_remove_all (task->listed_evacuations);
 }
 
 void
 mr_control_evacuation_updated (const MrObject *object)
 {
-  gboolean holds = mr_evacuation_is_active (object->version);
+  gboolean active = mr_evacuation_is_active (object->version);
   mr_log (MR_LOG_NOTICE, MR_EVENT_EVACUATION,
-          holds ? "failure domain %s is evacuated: its targets get no new work"
-                : "failure domain %s is no longer evacuated",
+          active ? "failure domain %s is evacuated: its targets get no new work"
+                 : "failure domain %s is no longer evacuated",
           object->name);
 }
--- a/src/control_peers.c
+++ b/src/control_peers.c
@@ -7,7 +7,7 @@
 
 enum
 {
-  RECEIVE_BURST = 256, /* messages read in one round */
+  RECEIVE_BURST = 256, /* messages read per iteration of the event loop */
 };
 
 static MrShardMap *
@@ -58,8 +58,8 @@
 static void
 S_on_partial (MrControlTask *task, MrWireMessage *message)
 {
-  /* Batch numbers start anew with each incarnation: an answer to an earlier
-   * process of our name must not be taken for one to ours. */
+  /* Each process numbers its batches from the start again, so a partial for an earlier process
+   * of this daemon must not be matched to one of its current batches. */
   if (message->root_incarnation != task->incarnation)
     {
       mr_metrics_add (MR_METRIC_PEER_STALE, 1);
@@ -106,8 +106,8 @@
   mr_mailbox_post (task->entry_mailbox, &result->base);
 }
 
-/* What was opened to a process that has ended, or while its VM was off, carries the
- * answer to its next one a second late. */
+/* A connection that was opened to a process that has exited, or while its VM was off, would
+ * delay the answer to the new process by a second. */
 static void
 S_renew_link (MrControlTask *task, MrTime now, const MrHeartbeat *heartbeat)
 {
@@ -156,13 +156,13 @@
       S_on_order_result (task, message);
       break;
     case MR_WIRE_DEFLATED:
-      break; /* decoded to what it holds */
+      break; /* mr_wire_decode () returns the inflated message */
     }
 }
 
-/* A sender that is not known yet counts as one of another domain. */
+/* A sender that is not known yet counts as a member of another domain. */
 static void
-S_count (MrControlTask *task, const MrWireMessage *message, gsize bytes)
+S_count_received (MrControlTask *task, const MrWireMessage *message, gsize bytes)
 {
   const MrMember *from = mr_membership_find (task->membership, message->sender);
   mr_traffic_add (MR_TRAFFIC_RECEIVED, mr_traffic_kind (message->type),
@@ -181,15 +181,15 @@
       mr_metrics_add (MR_METRIC_PEER_RECEIVED_BYTES, bytes->len);
       if (mr_wire_decode (mr_text_of (bytes), &message) == MR_OK)
         {
-          S_count (task, &message, bytes->len);
+          S_count_received (task, &message, bytes->len);
           S_on_peer_message (task, mr_now (), &message);
           mr_wire_message_clear (&message);
         }
       else
         {
           mr_metrics_add (MR_METRIC_PEER_BAD, 1);
-          mr_log (MR_LOG_WARNING, MR_EVENT_PEER_MESSAGE_BAD, "message of %zu bytes refused: %s",
-                  bytes->len, mr_status_message ());
+          mr_log (MR_LOG_WARNING, MR_EVENT_PEER_MESSAGE_BAD,
+                  "rejected a peer message of %zu bytes: %s", bytes->len, mr_status_message ());
         }
       g_string_free (bytes, TRUE);
     }
--- a/src/control_platform.c
+++ b/src/control_platform.c
@@ -6,29 +6,28 @@
 enum
 {
   WATCH_WAIT_MS = 10000,
-  /* A relay's: each call is paid for, and dead connections are found by
+  /* For a relay: the platform charges for each call, and dead connections are detected by TCP
    * keep-alive probes rather than by short watches. */
   RELAY_WATCH_WAIT_MS = 28000,
-  /* Of the first of all relays that watch.  A watch that the store took while it
-   * answered nobody is never answered; where a change ended all watches at such a
-   * moment no relay heard of the next one for half a minute.  So one of them finds it
-   * within 6 s, for 11 calls more a kind and 45 s. */
+  /* For the first of all relays that watch. The store never answers a watch that it accepted
+   * during an outage. When a change had ended all watches at such a moment, no relay learned
+   * of the next change for half a minute. With one short watch it is noticed within 6 s, at 11
+   * more calls per object kind and 45 s. */
   FIRST_WATCH_WAIT_MS = 4000,
 };
 
 static const MrTime VMS_PAUSE = 1 * MR_SECOND;
-/* Between two watches of a relay for targets: each change ends a watch, and each
- * watch is paid for, so what changes meanwhile is taken together.  A target that
- * leaves has to be known of within about 3 s. */
+/* Pause between two target watches of a relay. Each change ends a watch, and each watch is
+ * charged for, so the changes during a pause are read together. The pause is bounded because a
+ * leaving target has to be known within about 3 s. */
 static const MrTime TARGETS_PAUSE = 400 * MR_MS;
-/* Nobody waits for the store's copy of evidence while the store does not answer, but at a
- * start. */
+/* Except at startup, no request waits for the store's copy of evidence while the store is down. */
 static const MrTime EVIDENCE_RETRY = 5 * MR_SECOND;
-/* Controllers of lower rank act this much later, each. */
-static const MrTime RANK_DELAY = 500 * MR_MS;
+/* Delay of a controller's actions per rank. */
+static const MrTime RANK_DELAY_STEP = 500 * MR_MS;
 
-/* Name of the one object that lists leaving targets. */
-static const char leaving_name[] = "leaving";
+/* Name of the single object that lists the leaving targets. */
+static const char leaving_object_name[] = "leaving";
 
 static const struct
 {
@@ -77,10 +76,10 @@
   return mr_watch_rank (task->roster, task->settings->name) < MR_WATCHERS_PER_DOMAIN;
 }
 
-/* TRUE while a relay that has just started leaves the store alone, since its peers
- * may know what it lacks. */
+/* TRUE while a starting relay does not read the store yet, because its peers may be able to
+ * supply the objects. */
 static gboolean
-S_joins (MrControlTask *task, MrTime now, gboolean watcher, MrTime *next)
+S_is_bootstrapping (MrControlTask *task, MrTime now, gboolean watcher, MrTime *next)
 {
   const MrBootstrapState state = {
     .self = task->settings->name,
@@ -108,17 +107,18 @@
   if (!task->relay)
     return WATCH_WAIT_MS;
   if (mr_control_is_restriction (index))
-    return RELAY_WATCH_WAIT_MS; /* daemons tell each other */
+    return RELAY_WATCH_WAIT_MS; /* daemons announce restrictions to each other */
   return mr_watch_is_first_watcher (task->roster, task->settings->name) ? FIRST_WATCH_WAIT_MS
                                                                         : RELAY_WATCH_WAIT_MS;
 }
 
-/* Evidence and evacuations spread between daemons.  Of relays they are read by those that
- * watch, and by others if they begin with what the store holds; by these once the store has
- * answered: a whole fleet that started in an outage asked for evidence as well, 1,900 calls
- * more on a day of 295 VMs. */
+/* TRUE if this daemon does not make the calls of watch @index. Quarantine evidence and
+ * evacuations are replicated between daemons. Among relays they are read by the watchers and
+ * by those that start from the store, and by the latter only after the store has answered:
+ * otherwise a fleet of 295 VMs that started during an outage asked for evidence as well, which
+ * added 1,900 calls on that day. */
 static gboolean
-S_leaves_out (const MrControlTask *task, int index, gboolean watcher)
+S_skips_watch (const MrControlTask *task, int index, gboolean watcher)
 {
   if (index == WATCH_DOCUMENTS)
     return task->relay || !watcher;
@@ -131,15 +131,15 @@
 mr_control_platform_tick (MrControlTask *task, MrTime now, MrTime *next)
 {
   gboolean watcher = S_is_watcher (task);
-  if (task->relay && S_joins (task, now, watcher, next))
+  if (task->relay && S_is_bootstrapping (task, now, watcher, next))
     return;
   for (int i = 0; i < WATCH_COUNT; i++)
     {
       MrWatch *watch = &task->watches[i];
-      if (watch->in_flight || S_leaves_out (task, i, watcher))
+      if (watch->in_flight || S_skips_watch (task, i, watcher))
         continue;
       if (watcher && watch->retry_delay == 0)
-        watch->due = MIN (watch->due, now + watch->call_pause); /* it has just become one */
+        watch->due = MIN (watch->due, now + watch->call_pause); /* a new watcher */
       if (now < watch->due)
         {
           *next = MIN (*next, watch->due);
@@ -156,10 +156,11 @@
     }
 }
 
-/* A watch that the store took while it answered nobody is never answered.  Watches of other
- * kinds are shorter and tell when it answers again; this one is made anew then. */
+/* The store never answers a watch that it accepted during an outage. Watches of other kinds
+ * are shorter and reveal that the store is back; the long watch of evacuations is then
+ * replaced. */
 static void
-S_renew_evacuations (MrControlTask *task)
+S_renew_evacuation_watch (MrControlTask *task)
 {
   MrWatch *watch = &task->watches[WATCH_EVACUATIONS];
   if (watch->has_succeeded)
@@ -167,7 +168,7 @@
 }
 
 static void
-S_note_platform (MrControlTask *task, gboolean up)
+S_set_platform_up (MrControlTask *task, gboolean up)
 {
   if (!up)
     mr_metrics_add (MR_METRIC_PLATFORM_FAILURES, 1);
@@ -176,11 +177,12 @@
   task->platform_up = up;
   task->view_changed = TRUE;
   if (up)
-    S_renew_evacuations (task);
+    S_renew_evacuation_watch (task);
   mr_removal_filter_set_store_up (task->removal_filter, mr_now (), up);
   mr_membership_set_platform_unreachable (task->membership, mr_now (), !up);
   mr_log (up ? MR_LOG_NOTICE : MR_LOG_WARNING, up ? MR_EVENT_PLATFORM_UP : MR_EVENT_PLATFORM_DOWN,
-          up ? "the platform answers" : "the platform does not answer; what is in force stays");
+          up ? "the platform answers again"
+             : "the platform does not answer; the objects in force are kept");
 }
 
 static void
@@ -189,17 +191,17 @@
   guint rank = mr_watch_rank (task->roster, task->settings->name);
   MrText body = object->deleted ? (MrText){ 0 } : mr_text_of (object->body);
   mr_controller_document_changed (task->controller, mr_text (object->name), object->version, body,
-                                  now + rank * RANK_DELAY);
+                                  now + rank * RANK_DELAY_STEP);
 }
 
-/* This platform's versions leave no room for what is made of them, and its removals have one
- * of their own. */
+/* This platform's versions are consecutive and have to be multiplied by the stride; each of
+ * its removals has a version of its own. */
 static void
 S_on_listed_evacuation (MrControlTask *task, const MrPlatformObject *object)
 {
-  MrPlatformObject spaced = *object;
-  spaced.version = MR_VERSION_STRIDE * object->version;
-  mr_control_evacuation_read_from_store (task, &spaced);
+  MrPlatformObject scaled = *object;
+  scaled.version = MR_VERSION_STRIDE * object->version;
+  mr_control_evacuation_read_from_store (task, &scaled);
 }
 
 static void
@@ -222,10 +224,10 @@
   watch->since = MAX (watch->since, result->revision);
 }
 
-/* Leaving targets are spread as one object; its version is the platform's
- * revision, taken only when the list has changed. */
+/* All leaving targets are replicated as one object. Its version is the platform's revision,
+ * and a new version is offered only if the list has changed. */
 static void
-S_offer_leaving (MrControlTask *task, const MrPlatformResult *result)
+S_offer_leaving_targets (MrControlTask *task, const MrPlatformResult *result)
 {
   GString *body = g_string_new ("[");
   for (guint i = 0; i < result->vms->len; i++)
@@ -235,10 +237,10 @@
         g_string_append_printf (body, "%s\"%s:%d\"", body->len > 1 ? "," : "", vm->ip, vm->port);
     }
   g_string_append_c (body, ']');
-  const MrObject *known = mr_registry_get (task->registry, MR_OBJECT_VM, leaving_name);
+  const MrObject *known = mr_registry_get (task->registry, MR_OBJECT_VM, leaving_object_name);
   if (known ? !g_string_equal (known->body, body) : body->len > 2)
-    mr_replication_offer (task->replication, MR_OBJECT_VM, mr_text (leaving_name), result->revision,
-                          mr_text_of (body), NULL);
+    mr_replication_offer (task->replication, MR_OBJECT_VM, mr_text (leaving_object_name),
+                          result->revision, mr_text_of (body), NULL);
   g_string_free (body, TRUE);
 }
 
@@ -257,10 +259,10 @@
       g_array_append_val (seeds, seed);
     }
   mr_membership_set_seeds (task->membership, (const MrMember *) (void *) seeds->data, seeds->len);
-  S_offer_leaving (task, result);
+  S_offer_leaving_targets (task, result);
 }
 
-/* Relay: a full listing in pages, then changes. */
+/* Relay: a full listing in pages, followed by changes. */
 
 static void
 S_on_relay_object (MrControlTask *task, MrTime now, int index, const MrPlatformObject *object)
@@ -293,7 +295,7 @@
 } Unlisted;
 
 static void
-S_remove_unlisted (const char *id, void *user)
+S_remove_if_unlisted (const char *id, void *user)
 {
   const Unlisted *unlisted = user;
   const MrControlTask *task = unlisted->task;
@@ -303,12 +305,12 @@
     mr_removal_filter_add_removed (task->removal_filter, unlisted->now, id, version);
 }
 
-/* Targets that were known and that a full listing does not name. */
+/* Reports the known targets that the full listing lacks as removed. */
 static void
-S_remove_all_unlisted (MrControlTask *task, MrTime now)
+S_remove_unlisted_targets (MrControlTask *task, MrTime now)
 {
   Unlisted unlisted = { .task = task, .now = now };
-  mr_target_table_foreach (task->target_table, S_remove_unlisted, &unlisted);
+  mr_target_table_foreach (task->target_table, S_remove_if_unlisted, &unlisted);
 }
 
 static void
@@ -334,8 +336,9 @@
   for (guint i = 0; i < result->objects->len; i++)
     S_on_relay_object (task, now, index, g_ptr_array_index (result->objects, i));
   watch->page_after[0] = '\0';
-  /* More is to come, but nothing on this page tells from where: the listing begins
-   * anew, rather than taking what follows for gone. */
+  /* The store announces more objects, but an empty page has no name to continue after. The
+   * listing is restarted, since the objects on the pages not read would otherwise count as
+   * removed. */
   if (full && result->more && result->objects->len == 0)
     return;
   if (full && result->more)
@@ -345,7 +348,7 @@
       return;
     }
   if (full && index == WATCH_TARGETS)
-    S_remove_all_unlisted (task, now);
+    S_remove_unlisted_targets (task, now);
   if (full && index == WATCH_EVACUATIONS)
     mr_control_evacuation_end_listing (task);
   watch->since = full ? watch->listing_revision : MAX (watch->since, result->revision);
@@ -381,7 +384,7 @@
     task->watches[index].due = now + EVIDENCE_RETRY;
   if (!success && mr_control_is_restriction (index))
     mr_control_start_restriction_failed (task, now, index);
-  /* The rest of a full listing, and the first watch after it, follow at once. */
+  /* The next page of a full listing, and the first watch after it, are requested at once. */
   gboolean more = task->watches[index].page_after[0] != '\0';
   if (success && task->relay && (more || (watcher && result->request->since == 0)))
     task->watches[index].due = now;
@@ -425,9 +428,9 @@
                                 (MrStatus) result->status, result->version);
 }
 
-/* The watch that @request is a call of; WATCHES if it is a read or a write. */
+/* Returns the watch that @request belongs to, or WATCH_COUNT for a read or a write. */
 static int
-S_watch_of (const MrPlatformRequest *request)
+S_watch_index (const MrPlatformRequest *request)
 {
   const char *kind = request->action == MR_PLATFORM_VMS ? "vms" : request->kind;
   if (request->action != MR_PLATFORM_LIST && request->action != MR_PLATFORM_VMS)
@@ -442,12 +445,12 @@
 mr_control_platform_result (MrControlTask *task, const MrPlatformResult *result)
 {
   MrTime now = mr_now ();
-  int index = S_watch_of (result->request);
+  int index = S_watch_index (result->request);
   if (index < WATCH_COUNT && !mr_watch_is_current (&task->watches[index], result->request->call))
     return;
   gboolean up = result->status == MR_OK || result->status == MR_ERROR_NOT_FOUND ||
                 result->status == MR_ERROR_CONFLICT;
-  S_note_platform (task, up);
+  S_set_platform_up (task, up);
   if (result->request->action == MR_PLATFORM_READ)
     S_on_read_result (task, now, result);
   else if (result->request->action == MR_PLATFORM_WRITE)
--- a/src/control_private.h
+++ b/src/control_private.h
@@ -1,11 +1,11 @@
-/* Inside of the control task, shared by its files:
- *   control_task.c      the loop, members, objects
- *   control_view.c      what the other tasks are told
- *   control_peers.c     messages of other daemons
- *   control_platform.c  watches, the controller's reads and writes
- *   control_evidence.c  contents that end targets: told, saved, forgotten
+/* Internal interface of the control task:
+ *   control_task.c        event loop, members, objects
+ *   control_view.c        views published to the other tasks
+ *   control_peers.c       messages from other daemons
+ *   control_platform.c    watches and the controller's reads and writes
+ *   control_evidence.c    quarantine evidence: announced, saved, expired
  *   control_evacuation.c  failure domains whose targets get no new work
- *   control_start.c     what is read from the store at a start */
+ *   control_start.c       objects read from the store at startup */
 #pragma once
 
 #include "bootstrap.h"
@@ -21,21 +21,21 @@
 #include "watch.h"
 #include <stdatomic.h>
 
-/* The calls that are repeated at the platform. */
+/* Calls that are repeated at the platform. */
 enum
 {
   WATCH_ACCEPTED,
   WATCH_SHARD_MAPS,
-  WATCH_DOCUMENTS, /* watchers only */
+  WATCH_DOCUMENTS, /* by daemons that watch only */
   WATCH_VMS,
-  WATCH_CONFIGURATION, /* of a relay, as all that follow */
+  WATCH_CONFIGURATION, /* by relays only, like WATCH_TARGETS */
   WATCH_TARGETS,
   WATCH_EVIDENCE,
   WATCH_EVACUATIONS,
   WATCH_COUNT,
 };
 
-/* TRUE for the watches that tell where calls must not go. */
+/* TRUE for the watches of quarantines and evacuations, which restrict where calls may go. */
 static inline gboolean
 mr_control_is_restriction (int watch)
 {
@@ -58,113 +58,112 @@
   MrMailbox *target_mailbox;
   MrMailbox *platform_mailbox;
   MrPeerLink *link;
-  gboolean
-      ack_on_connection; /* by the heartbeat in hand, whose answer goes back by its connection */
+  gboolean ack_on_connection; /* answer the current heartbeat on its connection */
   MrRegistry *registry;
   MrMembership *membership;
   MrReplication *replication;
   MrController *controller;
   MrRoster *roster;
-  GHashTable *members_to_publish;  /* of a relay: names of members changed since they were told */
-  MrMemberList *published_members; /* of the product's own dialect, as published last */
+  GHashTable *members_to_publish;  /* relays: names of changed members */
+  MrMemberList *published_members; /* last published list; not used by relays */
   GRand *random;
   GHashTable *shard_maps; /* service -> GQueue of MrShardMap, newest first */
   MrWatch watches[WATCH_COUNT];
   GArray *seeds; /* MrMember from the settings */
   gboolean relay;
   MrRemovalFilter *removal_filter; /* of targets */
-  MrConfiguration *configuration;  /* of routes */
-  MrTargetTable *target_table;     /* of targets */
+  MrConfiguration *configuration;  /* routes and services in force */
+  MrTargetTable *target_table;     /* targets in force */
   gboolean members_changed;
   gboolean view_changed;
   gboolean ready;
   gboolean platform_up;
   MrTime start_time;
-  MrBootstrap bootstrap; /* of a relay */
-  GPtrArray
-      *deferred_offers;   /* MrHeldOffer: read at the start, until all that restricts is known */
-  MrTime defer_until;     /* at most */
-  gboolean deferral_over; /* nothing is held any more */
-  gboolean restriction_call_failed; /* a call for them has failed since all else is read */
+  MrBootstrap bootstrap;            /* relays only */
+  GPtrArray *deferred_offers;       /* MrDeferredOffer: until the restrictions are known */
+  MrTime defer_until;               /* end of the wait for the restrictions; 0: not set */
+  gboolean deferral_over;           /* nothing is deferred any more */
+  gboolean restriction_call_failed; /* since everything else was read */
   MrTime next_link_prune;
-  MrTime next_traffic_log; /* when the next log line of traffic is due */
+  MrTime next_traffic_log; /* when to log the next traffic line */
   MrQuarantine *quarantine;
-  GHashTable *saved_evidence;         /* content -> MrSavedEvidence: what the store holds */
-  MrTime next_evidence_check;         /* next look at what is to be saved or forgotten */
-  GHashTable *listed_evacuations;     /* names in the full listing under way */
-  guint64 evacuation_listing_version; /* of that listing */
+  GHashTable *saved_evidence;         /* content -> MrSavedEvidence: the store's copies */
+  MrTime next_evidence_check;         /* when to look for evidence to save or to expire */
+  GHashTable *listed_evacuations;     /* names in the current full listing */
+  guint64 evacuation_listing_version; /* version at which the current listing was taken */
 };
 
-/* The store's copy of one content's evidence. */
+/* The store's copy of the evidence against one content. */
 typedef struct
 {
   guint64 evidence;       /* packed; 0: none */
-  guint64 version;        /* of the object */
-  gboolean write_pending; /* a write is out */
+  guint64 version;        /* of the stored object */
+  gboolean write_pending; /* a write has been sent and not yet answered */
   MrTime retry_at;
 } MrSavedEvidence;
 
 #define TASK_OF(host, member)                                                                      \
   ((MrControlTask *) (void *) ((char *) (host) -offsetof (MrControlTask, member)))
 
-/* @member is new, or something about it has changed. */
+/* Updates the roster with @member, which is new or has changed. */
 void mr_control_view_update_member (MrControlTask *task, const MrMember *member);
-/* Tells the other tasks what has changed since the last call. */
+/* Publishes the changes since the last call to the other tasks. */
 void mr_control_view_publish (MrControlTask *task);
 
 void mr_control_evidence_init (MrControlTask *task);
 void mr_control_evidence_clear (MrControlTask *task);
-/* The requests of this daemon have shown something. */
+/* Merges evidence that this daemon's own requests have produced. */
 void mr_control_evidence_found (MrControlTask *task, const MrEvidenceMessage *message);
-/* The object @name has a new version, which is the evidence; it may be gone after. */
+/* Applies a new version of object @name, which encodes the evidence. The object may be removed
+ * by this call. */
 void mr_control_evidence_updated (MrControlTask *task, const char *name, guint64 version);
-/* The store holds @object, or has lost it. */
+/* Merges the state of @object at the store; a deleted one lifts the quarantine. */
 void mr_control_evidence_read_from_store (MrControlTask *task, const MrPlatformObject *object);
-/* The end of a write of ours. */
+/* Handles the result of a write of evidence. */
 void mr_control_evidence_written (MrControlTask *task, MrTime now, const MrPlatformResult *result);
 void mr_control_evidence_tick (MrControlTask *task, MrTime now, MrTime *next);
 
-/* The store holds the evacuation @object, or has lost it. */
+/* Applies the state of the evacuation @object at the store; a deleted one ends the evacuation. */
 void mr_control_evacuation_read_from_store (MrControlTask *task, const MrPlatformObject *object);
-/* A full listing of evacuations begins, at @version; has ended: what it does not name is
- * over. */
+/* Begins and ends a full listing of evacuations, taken at @version. Ending it ends the
+ * evacuations that the listing lacks. */
 void mr_control_evacuation_begin_listing (MrControlTask *task, guint64 version);
 void mr_control_evacuation_end_listing (MrControlTask *task);
-/* The object has a new version. */
+/* Logs a new version of an evacuation. */
 void mr_control_evacuation_updated (const MrObject *object);
 
 void mr_control_start_init (MrControlTask *task);
 void mr_control_start_clear (MrControlTask *task);
-/* Offers @object, which the store holds, now or once quarantines and evacuations are
+/* Offers @object from the store, or defers the offer until quarantines and evacuations are
  * known. */
 void
 mr_control_start_offer (MrControlTask *task, MrObjectKind kind, const MrPlatformObject *object);
-/* A call of watch @index, for quarantines or evacuations, has failed. */
+/* Reports that a call of watch @index, for quarantines or evacuations, has failed. */
 void mr_control_start_restriction_failed (MrControlTask *task, MrTime now, int index);
-/* TRUE once nothing that was read from the store is held back. */
+/* TRUE once no object from the store has to be deferred any more. */
 gboolean mr_control_start_is_complete (const MrControlTask *task);
-/* TRUE once a daemon of the product's own dialect has read quarantines and evacuations, or
- * has held all else (@rest) for as long as they are waited for. */
-gboolean mr_control_start_may_serve (MrControlTask *task, MrTime now, gboolean rest);
+/* For a daemon that is no relay: TRUE once it has read quarantines and evacuations, or has
+ * waited DEFERRAL_MAX for them while everything else was available (@others_read). */
+gboolean mr_control_start_may_serve (MrControlTask *task, MrTime now, gboolean others_read);
 void mr_control_start_tick (MrControlTask *task, MrTime now, MrTime *next);
 
-/* Sends @request, which it takes, to the platform. */
+/* Sends @request to the platform. Takes ownership of @request. */
 void mr_control_platform_request (MrControlTask *task, MrPlatformRequest *request);
 
-/* Sends @bytes, which it takes, to the member @name. */
+/* Sends @bytes to the member @name. Takes ownership of @bytes. */
 void mr_control_send (MrControlTask *task, const char *name, GString *bytes);
 
-/* Known generations of a service's shard map, newest first. */
+/* Returns the known generations of a service's shard map, newest first. */
 GQueue *mr_control_shard_maps (MrControlTask *task, const char *service);
 
-/* Reads what other daemons have sent. */
+/* Handles the messages that other daemons have sent. */
 void mr_control_receive (MrControlTask *task);
 
-/* Sets how the controller reaches the platform. */
+/* Connects the controller to the platform and sets the pauses of the watches. */
 void mr_control_platform_init (MrControlTask *task);
 
-/* Starts the calls that are due; lowers @next to when to come back. */
+/* Starts the calls that are due and lowers @next to the time of the next one. */
 void mr_control_platform_tick (MrControlTask *task, MrTime now, MrTime *next);
-/* Believes removals of targets that are due. */
+/* Applies the removals of targets that are due and lowers @next to the time of the next one. */
 void mr_control_platform_apply_removals (MrControlTask *task, MrTime now, MrTime *next);
 void mr_control_platform_result (MrControlTask *task, const MrPlatformResult *result);
--- a/src/control_task.c
+++ b/src/control_task.c
@@ -11,32 +11,32 @@
 
 enum
 {
-  MAPS_KEPT = 4, /* generations of a service's map that batches may name */
+  SHARD_MAPS_MAX = 4, /* generations of a service's shard map that batches may refer to */
 };
 
 static const MrTime IDLE_WAIT = 500 * MR_MS;
-static const MrTime PRUNE_GAP = 10 * MR_SECOND;
-/* Between two log lines of traffic, some 300 bytes each. */
-static const MrTime TRAFFIC_GAP = 5 * MR_SECOND;
-/* With peers known, a daemon that has read the platform waits this long for one
- * to confirm what it read. */
+static const MrTime LINK_PRUNE_GAP = 10 * MR_SECOND;
+/* Interval of the traffic log lines, each of about 300 bytes. */
+static const MrTime TRAFFIC_LOG_GAP = 5 * MR_SECOND;
+/* How long a daemon that has read the platform and has met peers waits for one of them to
+ * confirm what it read. */
 static const MrTime CONFIRM_WAIT = 3 * MR_SECOND;
 
-/* Sending. */
+/* Sending messages */
 
 static gboolean
-S_is_control (MrTrafficKind kind)
+S_is_control_traffic (MrTrafficKind kind)
 {
   return kind != MR_TRAFFIC_SEARCH && kind != MR_TRAFFIC_ORDER;
 }
 
-/* @bytes as they go out, counted; takes @bytes.  Parts of searches are not compressed: their
- * callers wait for them. */
+/* Returns @bytes as they are sent, and counts them. Takes ownership of @bytes. Search and
+ * order messages are not compressed, because callers wait for them. */
 static GString *
 S_prepare (MrControlTask *task, const MrMember *to, GString *bytes)
 {
   MrTrafficKind kind = mr_traffic_kind (mr_wire_type (bytes));
-  if (S_is_control (kind))
+  if (S_is_control_traffic (kind))
     {
       bytes = mr_wire_deflate (task->settings->name, bytes);
       mr_metrics_add (MR_METRIC_PEER_CONTROL_BYTES, bytes->len);
@@ -47,7 +47,7 @@
   return bytes;
 }
 
-/* Takes @bytes. */
+/* Takes ownership of @bytes. */
 static void
 S_send_to (MrControlTask *task, const MrMember *to, GString *bytes)
 {
@@ -66,7 +66,7 @@
 }
 
 static void
-S_on_heartbeat_out (MrMembershipHost *host, const MrMember *to, const MrHeartbeat *heartbeat)
+S_send_heartbeat (MrMembershipHost *host, const MrMember *to, const MrHeartbeat *heartbeat)
 {
   MrControlTask *task = TASK_OF (host, membership_host);
   GString *bytes = mr_wire_heartbeat (task->settings->name, heartbeat);
@@ -87,7 +87,7 @@
 }
 
 static void
-S_on_spread_out (MrReplicationHost *host, const char *name, GString *bytes)
+S_send_replication (MrReplicationHost *host, const char *name, GString *bytes)
 {
   mr_control_send (TASK_OF (host, replication_host), name, bytes);
 }
@@ -103,7 +103,7 @@
   return count;
 }
 
-/* Objects. */
+/* Objects */
 
 GQueue *
 mr_control_shard_maps (MrControlTask *task, const char *service)
@@ -117,13 +117,13 @@
 }
 
 static void
-S_free_maps (gpointer queue)
+S_free_shard_maps (gpointer queue)
 {
   g_queue_free_full (queue, (GDestroyNotify) mr_shard_map_unref);
 }
 
 static void
-S_take_map (MrControlTask *task, const MrObject *object)
+S_apply_shard_map (MrControlTask *task, const MrObject *object)
 {
   MrShardMap *map =
       mr_shard_map_parse (mr_text (object->name), object->version, mr_text_of (object->body));
@@ -135,13 +135,13 @@
     }
   GQueue *queue = mr_control_shard_maps (task, object->name);
   g_queue_push_head (queue, map);
-  if (queue->length > MAPS_KEPT)
+  if (queue->length > SHARD_MAPS_MAX)
     mr_shard_map_unref (g_queue_pop_tail (queue));
 }
 
-/* A configuration that can't be read leaves the one before it in force. */
+/* If the object cannot be parsed, the previous configuration stays in force. */
 static void
-S_take_configuration (MrControlTask *task, const MrObject *object)
+S_apply_configuration (MrControlTask *task, const MrObject *object)
 {
   MrConfiguration *configuration = mr_configuration_parse (mr_text_of (object->body));
   if (!configuration)
@@ -156,7 +156,7 @@
 }
 
 static void
-S_take_target (MrControlTask *task, const MrObject *object)
+S_apply_target (MrControlTask *task, const MrObject *object)
 {
   if (object->body->len == 0)
     {
@@ -177,17 +177,17 @@
 }
 
 static void
-S_on_taken (MrReplicationHost *host, const MrObject *object)
+S_on_object_updated (MrReplicationHost *host, const MrObject *object)
 {
   MrControlTask *task = TASK_OF (host, replication_host);
   mr_log (MR_LOG_INFO, MR_EVENT_OBJECT_NEW, "%s/%s is now version %" G_GUINT64_FORMAT,
           mr_object_kind_name (object->kind), object->name, object->version);
   if (object->kind == MR_OBJECT_SHARD_MAP)
-    S_take_map (task, object);
+    S_apply_shard_map (task, object);
   if (object->kind == MR_OBJECT_CONFIGURATION)
-    S_take_configuration (task, object);
+    S_apply_configuration (task, object);
   if (object->kind == MR_OBJECT_TARGET)
-    S_take_target (task, object);
+    S_apply_target (task, object);
   if (object->kind == MR_OBJECT_ACCEPTED)
     mr_controller_object_read (task->controller, mr_now (), "accepted", mr_text (object->name),
                                object->version, mr_text_of (object->body));
@@ -200,7 +200,7 @@
   mr_membership_set_registry_digest (task->membership, mr_registry_digest (task->registry));
 }
 
-/* Readiness. */
+/* Readiness */
 
 static void
 S_set_ready (MrControlTask *task, gboolean read)
@@ -208,12 +208,12 @@
   task->ready = TRUE;
   task->view_changed = TRUE;
   mr_replication_set_complete (task->replication);
-  mr_log (MR_LOG_NOTICE, MR_EVENT_READY, "ready: %u objects, from %s",
+  mr_log (MR_LOG_NOTICE, MR_EVENT_READY, "ready with %u objects from %s",
           mr_registry_count (task->registry), read ? "the platform" : "peers");
 }
 
-/* A relay serves with what it has: the store's answers are current, and what a
- * peer holds is at worst a moment older. */
+/* A relay serves with what it has: the store's answers are current, and a peer's objects are
+ * at most slightly older. */
 static void
 S_check_relay_ready (MrControlTask *task)
 {
@@ -238,15 +238,15 @@
   gboolean alone = !mr_membership_joined (task->membership);
   if (!mr_control_start_may_serve (task, now, synced || read))
     return;
-  /* A read of the platform may be stale and a lone peer may be behind; what a
-   * peer confirms, or nobody is there to confirm, is the best there is. */
+  /* A read of the platform may be stale, and a single peer may be behind. The daemon waits
+   * until a peer confirms what it holds, or until it is clear that no peer will. */
   if (!synced && !(read && (now - task->start_time > CONFIRM_WAIT ||
                             (alone && now - task->start_time > CONFIRM_WAIT / 3))))
     return;
   S_set_ready (task, read);
 }
 
-/* The task itself. */
+/* Event loop */
 
 static void
 S_on_message (MrControlTask *task, MrMessage *message)
@@ -271,7 +271,7 @@
 }
 
 static void
-S_close_link_of_dead (const MrMember *member, void *user)
+S_close_dead_link (const MrMember *member, void *user)
 {
   if (member->state >= MR_MEMBER_LEFT)
     mr_peer_link_close (user, member->ip, member->peer_port);
@@ -292,13 +292,13 @@
   mr_control_view_publish (task);
   if (now >= task->next_link_prune)
     {
-      task->next_link_prune = now + PRUNE_GAP;
-      mr_membership_foreach (task->membership, S_close_link_of_dead, task->link);
+      task->next_link_prune = now + LINK_PRUNE_GAP;
+      mr_membership_foreach (task->membership, S_close_dead_link, task->link);
       mr_peer_link_prune (task->link, now);
     }
   if (now >= task->next_traffic_log)
     {
-      task->next_traffic_log = now + TRAFFIC_GAP;
+      task->next_traffic_log = now + TRAFFIC_LOG_GAP;
       mr_traffic_log (mr_metrics_get (MR_METRIC_PLATFORM_CALLS));
     }
   return next;
@@ -358,13 +358,13 @@
                            task->seeds->len);
 }
 
-/* @starting: callers are not to be sent here yet. */
+/* @starting: this daemon must not be named to callers yet. */
 static MrMember
-S_self (const MrSettings *settings, guint32 seed, gboolean starting)
+S_make_self (const MrSettings *settings, guint32 seed, gboolean starting)
 {
   MrMember self = {
-    /* Later processes of a name should win over earlier ones; the clock gives
-     * the order, and a wrong clock is mended in membership.c. */
+    /* A later process of the same name has to supersede an earlier one. The clock provides the
+     * order; membership.c corrects the incarnation if the clock was wrong. */
     .incarnation = ((guint64) (g_get_real_time () / MR_MS) << 20) | (seed & 0xfffff),
     .peer_port = settings->peer_port,
     .http_port = settings->http_port,
@@ -393,16 +393,16 @@
   task->mailbox = mr_mailbox_new (S_wake, task);
   task->random = g_rand_new_with_seed (info->seed);
   task->platform_up = TRUE;
-  task->shard_maps = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, S_free_maps);
+  task->shard_maps = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, S_free_shard_maps);
   task->seeds = g_array_new (FALSE, FALSE, sizeof (MrMember));
   task->membership_host = (MrMembershipHost){
-    .send = S_on_heartbeat_out,
+    .send = S_send_heartbeat,
     .member_changed = S_on_member_changed,
   };
   task->replication_host = (MrReplicationHost){
-    .send = S_on_spread_out,
+    .send = S_send_replication,
     .neighbours = S_on_neighbours,
-    .updated = S_on_taken,
+    .updated = S_on_object_updated,
   };
   task->relay = info->relay;
   task->removal_filter = mr_removal_filter_new ();
@@ -413,7 +413,7 @@
   mr_control_evidence_init (task);
   mr_control_start_init (task);
   task->listed_evacuations = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  MrMember self = S_self (info->settings, info->seed, info->relay);
+  MrMember self = S_make_self (info->settings, info->seed, info->relay);
   task->registry = mr_registry_new ();
   task->membership = mr_membership_new (&task->membership_host, &self, info->seed);
   task->replication =
--- a/src/control_task.h
+++ b/src/control_task.h
@@ -1,8 +1,8 @@
-/* Task of the controllers: members, objects in force and their spread, the
- * platform's watches, and the traffic with other daemons.
+/* Control task: members, replication of the objects in force, the platform's watches, and
+ * messages to and from other daemons.
  *
- * It publishes a view to the entry and target tasks whenever something in it
- * changes; they never ask. */
+ * It publishes a view to the entry and target tasks whenever the view changes; those tasks
+ * never request one. */
 #pragma once
 
 #include "mailbox.h"
@@ -15,21 +15,21 @@
   const MrSettings *settings;
   guint64 incarnation; /* of the process, as in messages between daemons */
   guint32 seed;
-  gboolean relay; /* routes and targets are followed, not documents */
+  gboolean relay; /* follows routes and targets instead of documents */
 } MrControlTaskInfo;
 
 MrControlTask *mr_control_task_new (const MrControlTaskInfo *info);
 void mr_control_task_free (MrControlTask *task);
 MrMailbox *mr_control_task_mailbox (MrControlTask *task);
 
-/* Where messages for the other tasks go; before the task runs. */
+/* Sets the mailboxes of the other tasks. To be called before the task runs. */
 void mr_control_task_connect (MrControlTask *task,
                               MrMailbox *entry,
                               MrMailbox *targets,
                               MrMailbox *platform);
 
-/* Runs until mr_control_task_stop (). */
+/* Runs the task until mr_control_task_stop () is called. */
 void mr_control_task_run (MrControlTask *task);
-/* The same as the body of a thread. */
+/* Thread function that calls mr_control_task_run (). */
 void *mr_control_task_thread (void *task);
 void mr_control_task_stop (MrControlTask *task);
--- a/src/control_view.c
+++ b/src/control_view.c
@@ -68,10 +68,10 @@
     task->members_changed = TRUE;
 }
 
-/* The members that have changed, as they are now; new.  One that is no longer known was told
- * of as dead a minute before. */
+/* Returns the current state of the members that have changed, or NULL if none has. A member
+ * that is no longer known was published as dead a minute earlier. */
 static GArray *
-S_take_member_changes (MrControlTask *task)
+S_take_changed_members (MrControlTask *task)
 {
   if (g_hash_table_size (task->members_to_publish) == 0)
     return NULL;
@@ -91,18 +91,18 @@
   return members;
 }
 
-/* Changes go first: a view may say that this daemon is ready. */
+/* Changes are posted before the view, because the view may state that this daemon is ready. */
 static void
 S_publish_changes (MrControlTask *task)
 {
   GPtrArray *targets = mr_target_table_take_changes (task->target_table);
-  GArray *members = S_take_member_changes (task);
+  GArray *members = S_take_changed_members (task);
   if (targets || members)
     mr_mailbox_post (task->entry_mailbox, &mr_changes_message_new (targets, members)->base);
 }
 
 static MrView *
-S_view (MrControlTask *task)
+S_build_view (MrControlTask *task)
 {
   MrView *view = mr_view_new (task->relay ? NULL : mr_member_list_ref (task->published_members));
   ViewBuild build = { .task = task, .view = view };
@@ -129,7 +129,7 @@
     }
   task->view_changed = FALSE;
   task->members_changed = FALSE;
-  MrView *view = S_view (task);
+  MrView *view = S_build_view (task);
   mr_mailbox_post (task->entry_mailbox, &mr_view_message_new (view)->base);
   if (task->target_mailbox)
     mr_mailbox_post (task->target_mailbox, &mr_view_message_new (view)->base);
