--- a/test/test_changes.c
+++ b/test/test_changes.c
@@ -1,4 +1,4 @@
-/* What a change of one member or one target costs a daemon that holds many. */
+/* Cost of a change of one member or one target to a daemon that holds many. */
 
 #include "cold_share.h"
 #include "entry_plan.h"
@@ -28,9 +28,9 @@
   return member;
 }
 
-/* All that a daemon decides anew when @member has changed. */
+/* Makes all decisions that depend on the members after @member has changed. */
 static void
-S_decide (MrRoster *roster, MrColdShare *share, MrTime now, const MrMember *member)
+S_apply_change (MrRoster *roster, MrColdShare *share, MrTime now, const MrMember *member)
 {
   mr_roster_put (roster, member);
   mr_cold_share_on_member (share, now, member);
@@ -41,12 +41,13 @@
   mr_entry_plan_clear (&plan);
 }
 
-/* A daemon that goes through all members at each change falls behind in a fleet of a
- * thousand: changes come in proportion to the members, and callers wait for its processor. */
+/* Guards against a scan of all members at each change. The number of changes grows with the
+ * number of members, so in a fleet of a thousand a daemon that scans falls behind and delays
+ * callers. */
 static void
 test_member_changes (void **state)
 {
-  guint64 least = G_MAXUINT64;
+  guint64 fewest_steps = G_MAXUINT64;
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (sizes); i++)
     {
@@ -65,15 +66,15 @@
                          : change % 3 == 1 ? MR_MEMBER_ALIVE
                                            : MR_MEMBER_DEAD;
           member.load = change;
-          S_decide (roster, share, (1 + change) * MR_SECOND, &member);
+          S_apply_change (roster, share, (1 + change) * MR_SECOND, &member);
         }
       guint64 steps = (mr_roster_work_count (roster) - before) / CHANGES;
-      least = MIN (least, steps);
+      fewest_steps = MIN (fewest_steps, steps);
       print_message ("%u members: %u steps a change\n", sizes[i], (guint) steps);
-      /* Twice for a search in an order of 200 times as many. */
-      if (steps > 2 * least + 8)
+      /* The factor of 2 allows for a search in a sorted order of 200 times as many members. */
+      if (steps > 2 * fewest_steps + 8)
         fail_msg ("%u members: %u steps a change, %u with fewer", sizes[i], (guint) steps,
-                  (guint) least);
+                  (guint) fewest_steps);
       mr_cold_share_free (share);
       mr_roster_free (roster);
     }
@@ -90,8 +91,8 @@
   return mr_target_record_parse (mr_text (id), mr_text (json));
 }
 
-/* The same for targets: what one that starts to leave costs each daemon must not grow with
- * those that stay. */
+/* Guards against a cost per changed target, here one that starts to leave, that grows with the
+ * number of unchanged targets. */
 static void
 test_target_changes (void **state)
 {
@@ -122,8 +123,8 @@
     }
 }
 
-/* A roster that drifts from the members would name the dead, or watch twice: all that it
- * tells after many changes is what one made anew tells. */
+/* Guards against a roster that deviates from the members and so names dead ones or makes two
+ * of them watch. After many changes it has to give the same results as a newly built one. */
 static void
 test_same_as_new (void **state)
 {
@@ -135,11 +136,11 @@
   (void) state;
   MrMember members[MEMBERS];
   g_autoptr (GRand) random = g_rand_new_with_seed (11);
-  MrRoster *kept = mr_roster_new ();
+  MrRoster *updated = mr_roster_new ();
   for (guint m = 0; m < MEMBERS; m++)
     {
       members[m] = S_member (m);
-      mr_roster_put (kept, &members[m]);
+      mr_roster_put (updated, &members[m]);
     }
   for (guint step = 0; step < STEPS; step++)
     {
@@ -148,29 +149,29 @@
       member->busy = g_rand_boolean (random);
       member->platform_unreachable = g_rand_boolean (random);
       member->load = (guint32) g_rand_int_range (random, 0, 400);
-      mr_roster_put (kept, member);
-      MrRoster *made = mr_roster_new ();
+      mr_roster_put (updated, member);
+      MrRoster *rebuilt = mr_roster_new ();
       for (guint m = 0; m < MEMBERS; m++)
-        mr_roster_put (made, &members[m]);
-      MrEntryPlan a = mr_entry_plan (kept, "m3");
-      MrEntryPlan b = mr_entry_plan (made, "m3");
-      assert_int_equal (mr_roster_count (kept), mr_roster_count (made));
-      assert_int_equal (mr_roster_usable_count (kept), mr_roster_usable_count (made));
-      assert_int_equal (mr_roster_total_load (kept), mr_roster_total_load (made));
+        mr_roster_put (rebuilt, &members[m]);
+      MrEntryPlan a = mr_entry_plan (updated, "m3");
+      MrEntryPlan b = mr_entry_plan (rebuilt, "m3");
+      assert_int_equal (mr_roster_count (updated), mr_roster_count (rebuilt));
+      assert_int_equal (mr_roster_usable_count (updated), mr_roster_usable_count (rebuilt));
+      assert_int_equal (mr_roster_total_load (updated), mr_roster_total_load (rebuilt));
       assert_int_equal (a.entries->len, b.entries->len);
       for (guint e = 0; e < a.entries->len; e++)
         assert_string_equal (((const MrMember *) a.entries->pdata[e])->name,
                              ((const MrMember *) b.entries->pdata[e])->name);
-      assert_true (mr_watch_is_relay_watcher (kept, "m3") ==
-                   mr_watch_is_relay_watcher (made, "m3"));
-      assert_true (mr_watch_is_first_watcher (kept, "m3") ==
-                   mr_watch_is_first_watcher (made, "m3"));
-      assert_int_equal (mr_watch_rank (kept, "m3"), mr_watch_rank (made, "m3"));
+      assert_true (mr_watch_is_relay_watcher (updated, "m3") ==
+                   mr_watch_is_relay_watcher (rebuilt, "m3"));
+      assert_true (mr_watch_is_first_watcher (updated, "m3") ==
+                   mr_watch_is_first_watcher (rebuilt, "m3"));
+      assert_int_equal (mr_watch_rank (updated, "m3"), mr_watch_rank (rebuilt, "m3"));
       mr_entry_plan_clear (&a);
       mr_entry_plan_clear (&b);
-      mr_roster_free (made);
+      mr_roster_free (rebuilt);
     }
-  mr_roster_free (kept);
+  mr_roster_free (updated);
 }
 
 int
--- a/test/test_control.c
+++ b/test/test_control.c
@@ -1,5 +1,5 @@
-/* What daemons of a large fleet tell each other: how much, how far, and how soon all
- * agree, on a virtual clock. */
+/* Control traffic of a large fleet on a virtual clock: its volume, how often it crosses
+ * failure domains, and how soon all daemons agree. */
 
 #include "fleet.h"
 #include "log.h"
@@ -18,16 +18,16 @@
   TARGETS = 200,
 };
 
-static const MrTime MOST = 120 * MR_SECOND;
+static const MrTime TIMEOUT = 120 * MR_SECOND;
 
 static Fleet *
-S_running (const FleetLayout *layout)
+S_start_fleet (const FleetLayout *layout)
 {
   Fleet *fleet = fleet_new (layout);
   for (guint t = 0; t < TARGETS; t++)
     fleet_write_target (fleet, t);
   fleet_start_all (fleet, 300 * MR_MS, FALSE);
-  assert_true (fleet_run_until (fleet, fleet_converged, MOST) != MR_NEVER);
+  assert_true (fleet_run_until (fleet, fleet_converged, TIMEOUT) != MR_NEVER);
   fleet_run (fleet, 10 * MR_SECOND);
   return fleet;
 }
@@ -38,9 +38,9 @@
   return (double) bytes / 1000 / count;
 }
 
-/* Where nothing happens a heartbeat is as small as it can be, and nothing else is sent:
- * six news of members on each, long known to all, were 485 bytes and half of a calm
- * day's paid bytes. */
+/* Guards against heartbeats that carry known news in a quiet fleet. Six news of members on
+ * each heartbeat, which all members had known for long, took 485 bytes and made up half of the
+ * bytes charged for a quiet day. */
 static void
 test_calm (void **state)
 {
@@ -53,7 +53,7 @@
   const FleetLayout layout = {
     .count = LARGE, .domains = DOMAINS, .seeds = 3, .large_vms_per_domain = 3
   };
-  Fleet *fleet = S_running (&layout);
+  Fleet *fleet = S_start_fleet (&layout);
   fleet_clear_counts (fleet);
   fleet_run (fleet, SECONDS * MR_SECOND);
   guint64 messages = 0;
@@ -68,13 +68,14 @@
                  (double) bytes / (double) messages, (double) bytes / LARGE / SECONDS,
                  (double) fleet_bytes (fleet, FALSE) / LARGE / SECONDS);
   assert_true (bytes <= messages * (guint64) HEARTBEAT_MOST);
-  /* At most two links of four, in both directions, leave the domain. */
+  /* Of a member's four links, in both directions, at most two leave the failure domain. */
   assert_true (fleet->messages[MR_TRAFFIC_HEARTBEAT][0] <= messages / 2);
   fleet_free (fleet);
 }
 
-/* Targets that are exchanged by the hundred are read from the store in each failure
- * domain.  Told over all links, each body crossed domains 214 times at 295 VMs. */
+/* Guards against announcements over all links, which sent each body across failure domains 214
+ * times at 295 VMs. When hundreds of targets are replaced, each failure domain reads them from
+ * the store. */
 static void
 test_objects_cross_few_times (void **state)
 {
@@ -88,14 +89,14 @@
   const FleetLayout layout = {
     .count = LARGE, .domains = DOMAINS, .seeds = 3, .large_vms_per_domain = 3
   };
-  Fleet *fleet = S_running (&layout);
+  Fleet *fleet = S_start_fleet (&layout);
   fleet_clear_counts (fleet);
   for (guint t = 0; t < CHANGES; t++)
     {
       fleet_write_target (fleet, t);
       fleet_run (fleet, 20 * MR_MS);
     }
-  MrTime agreed = fleet_run_until (fleet, fleet_objects_agree, MOST);
+  MrTime agreed = fleet_run_until (fleet, fleet_objects_agree, TIMEOUT);
   guint64 bodies = fleet->bytes[MR_TRAFFIC_OBJECTS][0];
   print_message ("agreed %d ms after the last, %.1f crossings of each body, %.1f kB a VM across and"
                  " %.1f inside\n",
@@ -106,8 +107,9 @@
   fleet_free (fleet);
 }
 
-/* Two daemons that differ in one object of thousands find it by digests of ranges: the
- * whole list of 4,800 was 168 kB, once a second while they differed. */
+/* Guards against full lists between two daemons that differ in one of thousands of objects.
+ * The full list of 4,800 objects took 168 kB, once a second for as long as they differed;
+ * comparing digests of ranges finds the object. */
 static void
 test_one_object_differs (void **state)
 {
@@ -122,10 +124,10 @@
   for (guint t = 0; t < OBJECTS; t++)
     fleet_write_target (fleet, t);
   fleet_start_all (fleet, 0, FALSE);
-  assert_true (fleet_run_until (fleet, fleet_converged, MOST) != MR_NEVER);
+  assert_true (fleet_run_until (fleet, fleet_converged, TIMEOUT) != MR_NEVER);
   fleet_run (fleet, 5 * MR_SECOND);
   fleet_clear_counts (fleet);
-  /* Taken by one without a word to the other, as if the message had been lost. */
+  /* One daemon stores the object without announcing it, as if the message had been lost. */
   FleetNode *one = &fleet->nodes[0];
   mr_registry_offer (one->registry, MR_OBJECT_TARGET, MR_TEXT ("i-new"), 4 * OBJECTS * 4,
                      MR_TEXT ("{}"));
@@ -140,7 +142,7 @@
   fleet_free (fleet);
 }
 
-/* Events, each begun on a fleet that agrees. */
+/* Events that start in a fleet whose daemons agree. */
 
 static void
 S_change (Fleet *fleet)
@@ -149,14 +151,14 @@
 }
 
 static void
-S_exchange (Fleet *fleet)
+S_replace_half (Fleet *fleet)
 {
   for (guint t = 0; t < TARGETS / 2; t++)
     fleet_write_target (fleet, t);
 }
 
 static void
-S_death (Fleet *fleet)
+S_kill_daemon (Fleet *fleet)
 {
   fleet_kill (fleet, fleet->layout.count / 2);
 }
@@ -181,13 +183,13 @@
 {
   fleet_cut_domain (fleet, 1, TRUE, TRUE);
   fleet_run (fleet, 20 * MR_SECOND);
-  S_exchange (fleet);
+  S_replace_half (fleet);
   fleet_run (fleet, 10 * MR_SECOND);
   fleet_cut_domain (fleet, 1, TRUE, FALSE);
 }
 
 static void
-S_one_way (Fleet *fleet)
+S_cut_one_way (Fleet *fleet)
 {
   fleet_cut_one_way (fleet, 1, 2, TRUE);
   fleet_run (fleet, 20 * MR_SECOND);
@@ -195,7 +197,7 @@
 }
 
 static void
-S_halves (Fleet *fleet)
+S_cut_regions (Fleet *fleet)
 {
   fleet_cut_regions (fleet, TRUE);
   fleet_run (fleet, 30 * MR_SECOND);
@@ -225,9 +227,9 @@
     }
 }
 
-/* What callers and operators see of a view that is wrong: addresses of VMs that are
- * gone, a change that is not in force.  Links stay in the failure domain, all but
- * few; whatever is cut, lost or starts, all agree again within the time of a case. */
+/* Guards against outdated views, which give callers the addresses of VMs that are gone and
+ * hide changes that are in force. All but a few links stay inside a failure domain; after a
+ * partition, a loss or a restart all daemons have to agree again within the time of the case. */
 static void
 test_all_agree (void **state)
 {
@@ -235,23 +237,23 @@
   {
     const char *name;
     void (*begin) (Fleet *fleet);
-    gboolean lone; /* a domain of one VM */
+    gboolean lone_vm; /* the last domain has a single VM */
     double seconds;
   } cases[] = {
     { "a change", S_change, FALSE, 0.1 },
     { "a change, a domain with one VM", S_change, TRUE, 0.1 },
-    { "half of the targets exchanged", S_exchange, FALSE, 0.2 },
-    { "a death", S_death, FALSE, 7 },
+    { "half of the targets replaced", S_replace_half, FALSE, 0.2 },
+    { "a daemon killed", S_kill_daemon, FALSE, 7 },
     { "a domain lost", S_domain_lost, FALSE, 8 },
     { "a domain that does not reach the store", S_domain_without_store, FALSE, 0.1 },
     { "a domain cut off, healed", S_domain_cut_and_healed, FALSE, 5 },
-    { "the same, of one VM", S_domain_cut_and_healed, TRUE, 5 },
-    { "one way cut, healed", S_one_way, FALSE, 5 },
-    { "halves that heal", S_halves, FALSE, 5 },
+    { "a domain of one VM cut off, healed", S_domain_cut_and_healed, TRUE, 5 },
+    { "a one-way cut, healed", S_cut_one_way, FALSE, 5 },
+    { "regions cut off from each other, healed", S_cut_regions, FALSE, 5 },
     { "all killed", S_all_killed, FALSE, 2 },
     { "all killed, seeds last", S_all_killed_seeds_last, FALSE, 2 },
     { "all killed, a domain with one VM", S_all_killed, TRUE, 2 },
-    { "replaced in turn", S_replaced_in_turn, FALSE, 7 },
+    { "daemons replaced one by one", S_replaced_in_turn, FALSE, 7 },
   };
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -261,10 +263,10 @@
                                    .regions = 2,
                                    .seeds = 3,
                                    .large_vms_per_domain = 2,
-                                   .last_vm_alone = cases[i].lone };
-      Fleet *fleet = S_running (&layout);
+                                   .last_vm_alone = cases[i].lone_vm };
+      Fleet *fleet = S_start_fleet (&layout);
       cases[i].begin (fleet);
-      MrTime took = fleet_run_until (fleet, fleet_converged, MOST);
+      MrTime took = fleet_run_until (fleet, fleet_converged, TIMEOUT);
       print_message ("%s: %.2f s\n", cases[i].name, (double) took / MR_SECOND);
       if (took > (MrTime) (cases[i].seconds * MR_SECOND))
         fail_msg ("%s", cases[i].name);
@@ -272,17 +274,17 @@
     }
 }
 
-/* Evidence against a content. */
+/* Evidence against a content */
 
 static const char content[] = "6ea12fb25cac794dad0efd1471deb818";
 enum
 {
-  EVIDENCE = 77, /* its version */
+  EVIDENCE = 77, /* version of the object */
 };
 
-/* Shown by requests at daemon @index; the store knows nothing of it. */
+/* Offers evidence as if requests at daemon @index had produced it; the store has none. */
 static void
-S_find_evidence (Fleet *fleet, guint index)
+S_offer_evidence (Fleet *fleet, guint index)
 {
   FleetNode *node = &fleet->nodes[index];
   mr_replication_offer (node->spread, MR_OBJECT_EVIDENCE, mr_text (content), EVIDENCE,
@@ -303,9 +305,10 @@
   return TRUE;
 }
 
-/* Each daemon that does not know yet that a content ends its targets lets it end more.  All
- * know within a fraction of the 4 s that a deployment bears, at 295 VMs as at 7, wherever it
- * was found, and one that starts knows when it serves. */
+/* Guards against slow replication of evidence: a daemon without it sends more targets requests
+ * that make them exit. All daemons have to know within a fraction of the 4 s that a deployment
+ * tolerates, at 295 VMs as at 7 and wherever the evidence was found. A daemon that starts has
+ * to know before it serves. */
 static void
 test_evidence (void **state)
 {
@@ -319,13 +322,13 @@
     { "seven", 7, NULL, 0.1 },
     { "sixty", MIDDLE, NULL, 0.3 },
     { "hundreds", LARGE, NULL, 0.5 },
-    { "beside a hundred targets exchanged", LARGE, S_exchange, 0.5 },
-    { "beside a death", MIDDLE, S_death, 0.5 },
-    { "beside a domain that is lost", MIDDLE, S_domain_lost, 0.5 },
+    { "while a hundred targets are replaced", LARGE, S_replace_half, 0.5 },
+    { "while a daemon is killed", MIDDLE, S_kill_daemon, 0.5 },
+    { "while a domain is lost", MIDDLE, S_domain_lost, 0.5 },
     { "a domain without the store", MIDDLE, S_domain_without_store, 0.3 },
     { "a domain cut off, healed", MIDDLE, S_domain_cut_and_healed, 5 },
-    { "halves that heal", MIDDLE, S_halves, 5 },
-    { "replaced in turn", MIDDLE, S_replaced_in_turn, 1 },
+    { "regions cut off from each other, healed", MIDDLE, S_cut_regions, 5 },
+    { "daemons replaced one by one", MIDDLE, S_replaced_in_turn, 1 },
   };
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -335,11 +338,11 @@
                                    .regions = 2,
                                    .seeds = 3,
                                    .large_vms_per_domain = cases[i].count < DOMAINS * 2 ? 0 : 2 };
-      Fleet *fleet = S_running (&layout);
-      S_find_evidence (fleet, cases[i].count - 1);
+      Fleet *fleet = S_start_fleet (&layout);
+      S_offer_evidence (fleet, cases[i].count - 1);
       if (cases[i].meanwhile)
         cases[i].meanwhile (fleet);
-      MrTime took = fleet_run_until (fleet, S_all_know, MOST);
+      MrTime took = fleet_run_until (fleet, S_all_know, TIMEOUT);
       print_message ("evidence, %s: %.2f s\n", cases[i].name, (double) took / MR_SECOND);
       if (took > (MrTime) (cases[i].seconds * MR_SECOND))
         fail_msg ("%s", cases[i].name);
--- a/test/test_directory.c
+++ b/test/test_directory.c
@@ -1,5 +1,5 @@
-/* What daemons tell callers of each other, on the virtual clock: whom they name, and how soon
- * those that have fallen silent are left out. */
+/* Directory answers to callers on a virtual clock: which daemons they name, and how soon
+ * daemons that no longer respond are left out. */
 
 #include "entry_plan.h"
 #include "fleet.h"
@@ -21,30 +21,30 @@
   LARGE = 295,
   HUGE = 810,
   COUNT_MAX = HUGE,
-  ASKED_EACH = 5, /* so many-th daemon is asked at a time */
+  CHECK_STRIDE = 5, /* one in this many daemons is checked at a time */
 };
 
-/* A daemon that has ended is named for at most this long. */
-static const MrTime NAMED_MOST = 8 * MR_SECOND;
+/* A daemon that has stopped may be named for at most this long. */
+static const MrTime NAMED_MAX = 8 * MR_SECOND;
 static const MrTime STEP = 500 * MR_MS;
 
 typedef struct
 {
   Fleet *fleet;
-  guint asked;             /* times, by which another fifth is asked each time */
-  MrTime ended[COUNT_MAX]; /* since when a daemon does not run; 0: it runs */
+  guint checks;                 /* number of checks; each checks the next fifth of the daemons */
+  MrTime stopped_at[COUNT_MAX]; /* when a daemon stopped; 0: it runs */
 } Site;
 
 static void
 S_kill (Site *site, guint index)
 {
   fleet_kill (site->fleet, index);
-  site->ended[index] = site->fleet->now;
+  site->stopped_at[index] = site->fleet->now;
 }
 
-/* The daemons that @node names, by their places in the fleet. */
+/* Stores the fleet indices of the daemons that @node names; returns their count. */
 static guint
-S_named (const FleetNode *node, guint *indices)
+S_named_daemons (const FleetNode *node, guint *indices)
 {
   MrEntryPlan plan = mr_entry_plan (node->roster, node->self.name);
   guint count = plan.entries->len;
@@ -54,9 +54,9 @@
   return count;
 }
 
-/* Answers that name a daemon longer after its end than is allowed, beside one that runs. */
+/* Counts the times that a running daemon names one that stopped more than NAMED_MAX ago. */
 static guint
-S_count_late (Site *site)
+S_count_late_answers (Site *site)
 {
   guint late = 0;
   for (guint i = 0; i < site->fleet->layout.count; i++)
@@ -65,15 +65,15 @@
       guint indices[MR_ENTRIES_MAX];
       if (!node->membership)
         continue;
-      site->ended[i] = 0;
-      if (i % ASKED_EACH != site->asked % ASKED_EACH)
+      site->stopped_at[i] = 0;
+      if (i % CHECK_STRIDE != site->checks % CHECK_STRIDE)
         continue;
-      guint count = S_named (node, indices);
+      guint count = S_named_daemons (node, indices);
       for (guint n = 0; n < count; n++)
-        late +=
-            site->ended[indices[n]] != 0 && site->fleet->now - site->ended[indices[n]] > NAMED_MOST;
+        late += site->stopped_at[indices[n]] != 0 &&
+                site->fleet->now - site->stopped_at[indices[n]] > NAMED_MAX;
     }
-  site->asked++;
+  site->checks++;
   return late;
 }
 
@@ -83,16 +83,16 @@
   for (MrTime end = site->fleet->now + span; site->fleet->now < end;)
     {
       fleet_run (site->fleet, STEP);
-      *late += S_count_late (site);
+      *late += S_count_late_answers (site);
     }
 }
 
-/* The first that is named at daemon @at, in domain @domain. */
+/* Returns the first daemon of domain @domain that daemon @observer names. */
 static guint
-S_first_named (const Site *site, guint at, guint domain)
+S_first_named (const Site *site, guint observer, guint domain)
 {
   guint indices[MR_ENTRIES_MAX];
-  guint count = S_named (&site->fleet->nodes[at], indices);
+  guint count = S_named_daemons (&site->fleet->nodes[observer], indices);
   for (guint n = 0; n < count; n++)
     if (fleet_domain (site->fleet, indices[n]) == domain)
       return indices[n];
@@ -108,7 +108,7 @@
 }
 
 static void
-S_kill_beside_cut (Site *site, guint *late)
+S_kill_during_cut (Site *site, guint *late)
 {
   fleet_cut (site->fleet, 0, 1, TRUE);
   S_run (site, MR_SECOND, late);
@@ -116,7 +116,7 @@
 }
 
 static void
-S_kill_beside_one_way (Site *site, guint *late)
+S_kill_during_one_way_cut (Site *site, guint *late)
 {
   fleet_cut_one_way (site->fleet, 1, 0, TRUE);
   S_run (site, 6 * MR_SECOND, late);
@@ -150,19 +150,19 @@
     S_kill (site, i);
 }
 
-/* Guards against answers that send callers to daemons that have ended. */
+/* Guards against answers that send callers to daemons that have stopped. */
 static void
 test_the_dead_are_not_named (void **state)
 {
   static const struct
   {
     const char *name;
-    void (*happen) (Site *site, guint *late);
-    guint most; /* daemons of the largest fleet that it is played with */
+    void (*cause) (Site *site, guint *late);
+    guint largest; /* size of the largest fleet that the case runs with */
   } cases[] = {
     { "two killed", S_kill_named, MIDDLE },
-    { "killed beside a cut", S_kill_beside_cut, MIDDLE },
-    { "killed beside a cut one way", S_kill_beside_one_way, MIDDLE },
+    { "killed during a cut", S_kill_during_cut, MIDDLE },
+    { "killed during a one-way cut", S_kill_during_one_way_cut, MIDDLE },
     { "killed, back, killed again", S_kill_twice, MIDDLE },
     { "a domain killed", S_kill_domain, LARGE },
     { "half killed", S_kill_half, MIDDLE },
@@ -172,7 +172,7 @@
   for (gsize c = 0; c < G_N_ELEMENTS (counts); c++)
     for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
       {
-        if (counts[c] > cases[i].most)
+        if (counts[c] > cases[i].largest)
           continue;
         const FleetLayout layout = { .count = counts[c],
                                      .domains = DOMAINS,
@@ -184,8 +184,8 @@
         site->fleet = fleet_new (&layout);
         fleet_start_all (site->fleet, 300 * MR_MS, FALSE);
         S_run (site, 6 * MR_SECOND, &late);
-        cases[i].happen (site, &late);
-        S_run (site, NAMED_MOST + 3 * MR_SECOND, &late);
+        cases[i].cause (site, &late);
+        S_run (site, NAMED_MAX + 3 * MR_SECOND, &late);
         if (late > 0)
           print_message ("%s of %u: %u answers\n", cases[i].name, counts[c], late);
         assert_int_equal (late, 0);
@@ -193,15 +193,15 @@
       }
 }
 
-/* Guards against callers who have to ask again and again while all daemons near them are
- * silent, and against answers that are kept for longer than the platform counts. */
+/* Guards against callers that have to ask repeatedly while all daemons near them are silent,
+ * and against answers with a longer lifetime than the platform allows for. */
 static void
 test_keep (void **state)
 {
   static const struct
   {
     guint domain_losses;
-    MrTime most;
+    MrTime max_keep;
     MrTime keep;
   } cases[] = {
     { 0, 0, 1 * MR_SECOND },
@@ -213,7 +213,7 @@
   };
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
-    assert_int_equal (mr_entry_keep (cases[i].domain_losses, cases[i].most), cases[i].keep);
+    assert_int_equal (mr_entry_keep (cases[i].domain_losses, cases[i].max_keep), cases[i].keep);
 }
 
 int
