--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -4,7 +4,7 @@
  * it.  Times are of the virtual clock: they compare policies, not machines. */
 
 #include "log.h"
-#include "world.h"
+#include "search_sim.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/bench/world.c
+++ b/bench/search_sim.c
@@ -1,4 +1,4 @@
-#include "world.h"
+#include "search_sim.h"
 
 #include <math.h>
 
@@ -100,7 +100,7 @@
   MrQuery *query;
   MrTime arrived;
   MrTime deadline;
-  MrClass traffic_class;
+  MrTrafficClass traffic_class;
   MrShardMap *map;
   guint started; /* calls begun for it, at any owner */
   /* Of a naive policy. */
@@ -263,7 +263,7 @@
 /* Answers. */
 
 static void
-S_judge (World *w, Query *query, const MrAnswer *answer, const MrMerge *merge)
+S_judge (World *w, Query *query, const MrQueryAnswer *answer, const MrMerge *merge)
 {
   MrWorldResult *r = w->result;
   r->queries++;
@@ -318,9 +318,9 @@
 static void
 S_end_query (World *w, Query *query)
 {
-  MrAnswer answer = mr_query_answer (query->query);
+  MrQueryAnswer answer = mr_query_answer (query->query);
   S_judge (w, query, &answer, mr_query_merge (query->query));
-  mr_query_open_batches (query->query, S_forget_batch, query);
+  mr_query_foreach_open_batch (query->query, S_forget_batch, query);
   g_ptr_array_remove_fast (query->root->queries, query);
   mr_query_free (query->query);
   query->query = NULL;
@@ -439,7 +439,7 @@
   Origin *origin = g_hash_table_lookup (owner->origins, &partial->batch_id);
   guint64 local = partial->batch_id;
   gboolean remote = origin->root != owner->index;
-  gboolean last = partial->kind != MR_PARTIAL_WORKING;
+  gboolean last = partial->kind != MR_PARTIAL_IN_PROGRESS;
   partial->batch_id = origin->id;
   Event event = {
     .kind = EVENT_PARTIAL,
@@ -472,7 +472,7 @@
 }
 
 static void
-S_start_call (MrDispatchHost *host, const MrCallStart *start)
+S_start_call (MrDispatchHost *host, const MrShardCall *start)
 {
   Daemon *owner = DAEMON_OF_DISPATCH (host);
   World *w = owner->world;
@@ -632,7 +632,7 @@
   Daemon *owner = &w->daemons[call->owner];
   const MrWorldFault *fault = &w->targets[call->target].fault;
   MrHit hits[HITS_OF_SHARD] = { 0 };
-  MrCallEnd end = {
+  MrCallResult end = {
     .id = call->id,
     .outcome = outcome,
     .echoed_id = call->id,
@@ -666,7 +666,7 @@
     mr_hit_clear (&hits[i]);
   if (again)
     {
-      MrCallEnd twice = { .id = call->id, .outcome = MR_CALL_ANSWER, .echoed_id = call->id };
+      MrCallResult twice = { .id = call->id, .outcome = MR_CALL_ANSWER, .echoed_id = call->id };
       mr_dispatch_call_end (owner->dispatch, w->now, &twice);
     }
   S_tick (w, owner);
@@ -703,7 +703,7 @@
     return;
   query->answered = TRUE;
   guint64 weight = mr_merge_covered_weight (query->merge);
-  MrAnswer answer = {
+  MrQueryAnswer answer = {
     .covered_weight = weight,
     .total_weight = query->map->total_weight,
     .result = weight == query->map->total_weight ? MR_RESULT_COMPLETE : MR_RESULT_PARTIAL,
@@ -749,17 +749,17 @@
 
 /* Arrivals. */
 
-static MrClass
+static MrTrafficClass
 S_pick_class (World *w)
 {
   double u = g_rand_double (w->random);
-  for (int cls = 0; cls < MR_CLASS_COUNT - 1; cls++)
+  for (int cls = 0; cls < MR_TRAFFIC_CLASS_COUNT - 1; cls++)
     {
       if (u < w->config->class_share[cls])
-        return (MrClass) cls;
+        return (MrTrafficClass) cls;
       u -= w->config->class_share[cls];
     }
-  return MR_CLASS_BROWSING;
+  return MR_TRAFFIC_CLASS_BROWSING;
 }
 
 static void
@@ -786,7 +786,7 @@
     .members = w->members,
     .document = &w->document,
     .self = root->name,
-    .avoid = avoid,
+    .excluded_owners = avoid,
     .traffic_class = query->traffic_class,
     .text = MR_TEXT ("q"),
     .top_k = c->top_k,
@@ -852,7 +852,7 @@
       return;
     }
   w->sending = query;
-  mr_query_add (query->query, w->now, event->partial);
+  mr_query_add_partial (query->query, w->now, event->partial);
   w->sending = NULL;
   if (mr_query_ended (query->query))
     S_end_query (w, query);
@@ -872,7 +872,7 @@
       if (origin->root != event->target || origin->id != event->id)
         continue;
       guint64 id = *(guint64 *) key;
-      mr_dispatch_forget (owner->dispatch, w->now, id);
+      mr_dispatch_abandon_batch (owner->dispatch, w->now, id);
       g_hash_table_remove (owner->origins, &id);
       break;
     }
@@ -928,7 +928,7 @@
         {
           char key[32];
           g_snprintf (key, sizeof key, "10.0.0.1:%u", event->target + 1);
-          mr_dispatch_target_leaving (w->daemons[i].dispatch, w->now, key, true);
+          mr_dispatch_set_target_leaving (w->daemons[i].dispatch, w->now, key, true);
         }
       break;
     case EVENT_SWITCH:
@@ -977,8 +977,8 @@
 {
   Daemon *daemon = &w->daemons[index];
   daemon->query_host = (MrQueryHost){
-    .send = S_send_batch,
-    .next_id = S_next_id,
+    .send_batch = S_send_batch,
+    .next_batch_id = S_next_id,
     .last_heard = S_last_heard,
     .owner_silent = S_owner_silent,
   };
@@ -987,7 +987,7 @@
     .cancel_call = S_cancel_call,
     .probe = S_probe,
     .reconnect = S_renew,
-    .done = S_done,
+    .deliver_partial = S_done,
   };
   daemon->world = w;
   daemon->index = index;
--- a/bench/world.h
+++ b/bench/search_sim.h
@@ -64,7 +64,7 @@
   MrTime duration;
   MrTime deadline;
   MrTime fixed_timeout; /* of MR_WORLD_TIMEOUT */
-  double class_share[MR_CLASS_COUNT];
+  double class_share[MR_TRAFFIC_CLASS_COUNT];
   double extra_calls;
   guint top_k;
   MrTime switch_at;      /* the next snapshot is put in force */
@@ -89,8 +89,8 @@
   guint64 shed;
   guint64 peak_in_flight; /* at one target */
   MrHistogram latency;    /* of answers */
-  guint64 class_queries[MR_CLASS_COUNT];
-  guint64 class_complete[MR_CLASS_COUNT];
+  guint64 class_queries[MR_TRAFFIC_CLASS_COUNT];
+  guint64 class_complete[MR_TRAFFIC_CLASS_COUNT];
   /* Broken promises, as the fakes saw them. */
   guint64 bad_hits;     /* answer differs from the reference merge */
   guint64 bad_coverage; /* states another coverage than its shards have */
--- a/demo/load.c
+++ b/demo/load.c
@@ -47,7 +47,7 @@
 
 struct _Load
 {
-  MrLoopHost host;
+  MrLoopHandler host;
   MrLoop *loop;
   MrHttpClient *client;
   Request *lanes[LANES];
@@ -90,7 +90,7 @@
 };
 
 static void
-S_count (Load *load, const MrHttpAnswer *answer)
+S_count (Load *load, const MrHttpResponse *answer)
 {
   json_t *root = answer->outcome == MR_HTTP_OK
                      ? json_loadb (answer->body.data, answer->body.len, 0, NULL)
@@ -110,7 +110,7 @@
 }
 
 static void
-S_end (Request *request, const MrHttpAnswer *answer)
+S_end (Request *request, const MrHttpResponse *answer)
 {
   Load *load = request->load;
   MrTime latency = mr_now () - request->due;
@@ -125,7 +125,7 @@
 }
 
 static gboolean
-S_done (void *user, const MrHttpAnswer *answer)
+S_done (void *user, const MrHttpResponse *answer)
 {
   S_end (user, answer);
   return TRUE;
@@ -149,9 +149,9 @@
     .method = "GET",
     .ip = address->ip,
     .port = address->port,
-    .lane = lane,
+    .connection_slot = lane,
     .path = path,
-    .done = S_done,
+    .on_response = S_done,
     .user = request,
   };
   load->sent++;
@@ -164,7 +164,7 @@
 /* Addresses. */
 
 static void
-S_take_addresses (Load *load, const MrHttpAnswer *answer)
+S_take_addresses (Load *load, const MrHttpResponse *answer)
 {
   load->refreshing = FALSE;
   json_t *root = answer->outcome == MR_HTTP_OK
@@ -195,7 +195,7 @@
 }
 
 static gboolean
-S_refreshed (void *user, const MrHttpAnswer *answer)
+S_refreshed (void *user, const MrHttpResponse *answer)
 {
   S_take_addresses (user, answer);
   return TRUE;
@@ -219,9 +219,9 @@
     .method = "GET",
     .ip = ip,
     .port = port,
-    .lane = LANES,
+    .connection_slot = LANES,
     .path = "/v1/addresses?count=16",
-    .done = S_refreshed,
+    .on_response = S_refreshed,
     .user = load,
   };
   load->refreshing = mr_http_client_call (load->client, &info, NULL) != NULL;
@@ -253,7 +253,7 @@
 }
 
 static MrTime
-S_on_tick (MrLoopHost *host, MrTime now)
+S_on_tick (MrLoopHandler *host, MrTime now)
 {
   Load *load = (Load *) host;
   guint64 total = (guint64) opt.rate * (guint64) opt.seconds;
@@ -356,7 +356,7 @@
   struct argp argp = { .options = options, .parser = S_parse, .doc = "Load on loopback." };
   argp_parse (&argp, argc, argv, 0, NULL, NULL);
   if (opt.rate < 1 || opt.rate > RATE_MAX || opt.seconds < 1 || opt.seconds > SECONDS_MAX ||
-      mr_class_from_name (mr_text (opt.traffic_class)) == MR_CLASS_COUNT ||
+      mr_traffic_class_from_name (mr_text (opt.traffic_class)) == MR_TRAFFIC_CLASS_COUNT ||
       !g_str_has_prefix (opt.entry, "127."))
     {
       fprintf (stderr,
--- a/demo/platformd.c
+++ b/demo/platformd.c
@@ -48,8 +48,8 @@
 
 typedef struct
 {
-  MrLoopHost loop_host;
-  MrHttpHost http_host;
+  MrLoopHandler loop_host;
+  MrHttpHandler http_host;
   MrLoop *loop;
   MrHttpServer *server;
   GHashTable *kinds; /* kind -> GHashTable of name -> Object */
@@ -162,9 +162,9 @@
 static gboolean
 S_number (const MrHttpRequest *request, const char *name, guint64 fallback, guint64 *out)
 {
-  const char *text = mr_http_arg (request, name, NULL);
+  const char *text = mr_http_query_arg (request, name, NULL);
   *out = fallback;
-  return !text || mr_text_to_u64 (mr_text (text), out);
+  return !text || mr_text_parse_u64 (mr_text (text), out);
 }
 
 static void
@@ -233,9 +233,9 @@
 S_on_write (Platform *p, const MrHttpRequest *request, const char *kind, const char *name)
 {
   guint64 expected = 0;
-  const char *version = mr_http_arg (request, "version", NULL);
+  const char *version = mr_http_query_arg (request, "version", NULL);
   gboolean delete = mr_text_equal (request->method, MR_TEXT ("DELETE"));
-  if (!version || !mr_text_to_u64 (mr_text (version), &expected))
+  if (!version || !mr_text_parse_u64 (mr_text (version), &expected))
     {
       S_error (p, request->id, 400, "version: expected the version read, or 0 to create");
       return;
@@ -276,7 +276,7 @@
   if (!mr_text_equal (request->method, MR_TEXT ("GET")))
     {
       Vm *vm = g_new0 (Vm, 1);
-      vm->id = g_strdup (mr_http_arg (request, "id", "?"));
+      vm->id = g_strdup (mr_http_query_arg (request, "id", "?"));
       vm->body = g_string_new_len (request->body.data, (gssize) request->body.len);
       vm->visible_at = now + p->vms_lag;
       vm->removed = mr_text_equal (request->method, MR_TEXT ("DELETE"));
@@ -312,10 +312,10 @@
 static void
 S_on_faults (Platform *p, const MrHttpRequest *request)
 {
-  p->down = atoi (mr_http_arg (request, "down", p->down ? "1" : "0")) != 0;
-  p->stale = atoi (mr_http_arg (request, "stale", p->stale ? "1" : "0")) != 0;
-  const char *slow = mr_http_arg (request, "slow_ms", NULL);
-  const char *lose = mr_http_arg (request, "lose_writes", NULL);
+  p->down = atoi (mr_http_query_arg (request, "down", p->down ? "1" : "0")) != 0;
+  p->stale = atoi (mr_http_query_arg (request, "stale", p->stale ? "1" : "0")) != 0;
+  const char *slow = mr_http_query_arg (request, "slow_ms", NULL);
+  const char *lose = mr_http_query_arg (request, "lose_writes", NULL);
   if (slow)
     p->slow_ms = atoll (slow);
   if (lose)
@@ -351,7 +351,7 @@
 }
 
 static void
-S_on_request (MrHttpHost *host, const MrHttpRequest *request)
+S_on_request (MrHttpHandler *host, const MrHttpRequest *request)
 {
   Platform *p = PLATFORM_OF (host);
   g_autofree char *path = mr_text_dup (request->path);
@@ -399,7 +399,7 @@
 }
 
 static MrTime
-S_on_tick (MrLoopHost *host, MrTime now)
+S_on_tick (MrLoopHandler *host, MrTime now)
 {
   Platform *p = (Platform *) host;
   MrTime next = MR_NEVER;
--- a/demo/searcherd.c
+++ b/demo/searcherd.c
@@ -34,7 +34,7 @@
 
 struct _Searcher
 {
-  MrHttpHost http_host;
+  MrHttpHandler http_host;
   MrHttpServer *server;
   guint index;
   GPtrArray *jobs;
@@ -58,7 +58,7 @@
 
 typedef struct
 {
-  MrLoopHost loop_host;
+  MrLoopHandler loop_host;
   MrLoop *loop;
   MrCatalogue *catalogue;
   Searcher *searchers;
@@ -160,8 +160,8 @@
   MrTime now = mr_now ();
   Job *job = g_new0 (Job, 1);
   job->http_id = request->id;
-  job->call_id = g_strdup (mr_http_arg (request, "id", ""));
-  job->due = now + S_service_time (s, now) + (request->first ? opt.connect_us : 0);
+  job->call_id = g_strdup (mr_http_query_arg (request, "id", ""));
+  job->due = now + S_service_time (s, now) + (request->first_on_connection ? opt.connect_us : 0);
   job->reply = reply;
   job->silent = s->silent;
   g_ptr_array_add (s->jobs, job);
@@ -170,8 +170,8 @@
 static void
 S_on_search (Searcher *s, const MrHttpRequest *request)
 {
-  const char *snapshot = mr_http_arg (request, "snapshot", "");
-  const char *shard = mr_http_arg (request, "shard", "");
+  const char *snapshot = mr_http_query_arg (request, "snapshot", "");
+  const char *shard = mr_http_query_arg (request, "shard", "");
   guint index = 0;
   s->calls++;
   if (!g_hash_table_contains (s->snapshots, snapshot))
@@ -186,7 +186,7 @@
     }
   if (!S_take_slot (s, request->id))
     return;
-  if (opt.crash_on && g_str_equal (mr_http_arg (request, "q", ""), opt.crash_on))
+  if (opt.crash_on && g_str_equal (mr_http_query_arg (request, "q", ""), opt.crash_on))
     {
       fprintf (stderr, "searcherd: begins what ends it\n");
       process.crash_at = MIN (process.crash_at, mr_now () + CRASH_AFTER);
@@ -194,10 +194,10 @@
     }
   GString *reply = g_string_new (NULL);
   g_string_append_printf (reply, "{\"id\":\"%s%s\",\"snapshot\":\"%s\",\"shard\":\"%s\",\"hits\":",
-                          mr_http_arg (request, "id", ""), s->wrong_id ? "9" : "",
+                          mr_http_query_arg (request, "id", ""), s->wrong_id ? "9" : "",
                           s->wrong_snapshot ? "s-other" : snapshot, shard);
-  mr_catalogue_search (process.catalogue, index, mr_http_arg (request, "q", ""),
-                       (guint) atoi (mr_http_arg (request, "k", "10")), reply);
+  mr_catalogue_search (process.catalogue, index, mr_http_query_arg (request, "q", ""),
+                       (guint) atoi (mr_http_query_arg (request, "k", "10")), reply);
   g_string_append (reply, "}");
   S_work (s, request, reply);
 }
@@ -205,7 +205,7 @@
 static void
 S_on_order (Searcher *s, const MrHttpRequest *request)
 {
-  const char *ticket = mr_http_arg (request, "ticket", "");
+  const char *ticket = mr_http_query_arg (request, "ticket", "");
   if (!S_take_slot (s, request->id))
     return;
   guint times = GPOINTER_TO_UINT (g_hash_table_lookup (process.ran, ticket)) + 1;
@@ -219,14 +219,14 @@
   GString *reply = g_string_new (NULL);
   g_string_append_printf (reply,
                           "{\"id\":\"%s\",\"ticket\":\"%s\",\"order\":\"taken\",\"times\":%u}",
-                          mr_http_arg (request, "id", ""), ticket, times);
+                          mr_http_query_arg (request, "id", ""), ticket, times);
   S_work (s, request, reply);
 }
 
 static void
 S_on_cancel (Searcher *s, const MrHttpRequest *request)
 {
-  const char *id = mr_http_arg (request, "id", "");
+  const char *id = mr_http_query_arg (request, "id", "");
   for (guint i = 0; i < s->jobs->len; i++)
     {
       Job *job = g_ptr_array_index (s->jobs, i);
@@ -243,7 +243,7 @@
 static void
 S_set_flag (const MrHttpRequest *request, const char *name, gboolean *flag)
 {
-  const char *value = mr_http_arg (request, name, NULL);
+  const char *value = mr_http_query_arg (request, name, NULL);
   if (value)
     *flag = atoi (value) != 0;
 }
@@ -257,16 +257,16 @@
   S_set_flag (request, "wrong_snapshot", &s->wrong_snapshot);
   S_set_flag (request, "wrong_id", &s->wrong_id);
   S_set_flag (request, "drop_orders", &s->drop_orders);
-  const char *slow = mr_http_arg (request, "slow_factor", NULL);
-  const char *add = mr_http_arg (request, "add_snapshot", NULL);
-  const char *drop = mr_http_arg (request, "drop_snapshot", NULL);
+  const char *slow = mr_http_query_arg (request, "slow_factor", NULL);
+  const char *add = mr_http_query_arg (request, "add_snapshot", NULL);
+  const char *drop = mr_http_query_arg (request, "drop_snapshot", NULL);
   if (slow)
     s->slow_factor = atof (slow);
   if (add)
     g_hash_table_add (s->snapshots, g_strdup (add));
   if (drop)
     g_hash_table_remove (s->snapshots, drop);
-  if (mr_http_arg (request, "cold", NULL))
+  if (mr_http_query_arg (request, "cold", NULL))
     s->warm_at = mr_now () + opt.cold_ms * MR_MS;
   S_reply (s, request->id, 200, "{}");
 }
@@ -286,7 +286,7 @@
                        ",\"busy\":%u,\"connections\":%u,"
                        "\"peak_connections\":%u,\"tickets\":%u,\"tickets_run_twice\":%u}\n",
                        s->calls, s->shed, s->orders, s->cancelled, s->jobs->len,
-                       mr_http_server_connections (s->server), s->peak_connections,
+                       mr_http_server_connection_count (s->server), s->peak_connections,
                        g_hash_table_size (process.ran), doubled);
   S_reply (s, request->id, 200, text);
 }
@@ -301,12 +301,12 @@
 };
 
 static void
-S_on_request (MrHttpHost *host, const MrHttpRequest *request)
+S_on_request (MrHttpHandler *host, const MrHttpRequest *request)
 {
   Searcher *s = (Searcher *) host;
   gboolean control = mr_text_equal (request->path, MR_TEXT ("/control")) ||
                      mr_text_equal (request->path, MR_TEXT ("/stats"));
-  s->peak_connections = MAX (s->peak_connections, mr_http_server_connections (s->server));
+  s->peak_connections = MAX (s->peak_connections, mr_http_server_connection_count (s->server));
   if (s->dead && !control)
     {
       mr_http_server_drop (s->server, request->id);
@@ -331,7 +331,7 @@
 }
 
 static void
-S_on_gone (MrHttpHost *host, guint64 id)
+S_on_gone (MrHttpHandler *host, guint64 id)
 {
   Searcher *s = (Searcher *) host;
   for (guint i = 0; i < s->jobs->len; i++)
@@ -363,7 +363,7 @@
 }
 
 static MrTime
-S_on_tick (MrLoopHost *host, MrTime now)
+S_on_tick (MrLoopHandler *host, MrTime now)
 {
   (void) host;
   if (now >= process.crash_at)
@@ -378,7 +378,7 @@
 S_start (Searcher *s, guint index)
 {
   s->index = index;
-  s->http_host = (MrHttpHost){ .on_request = S_on_request, .on_gone = S_on_gone };
+  s->http_host = (MrHttpHandler){ .on_request = S_on_request, .on_disconnect = S_on_gone };
   s->jobs = g_ptr_array_new_with_free_func (S_job_free);
   s->snapshots = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   s->slow_factor = 1;
@@ -391,7 +391,7 @@
       fprintf (stderr, "searcherd: %s\n", mr_status_message ());
       return -1;
     }
-  mr_http_server_limit_connections (s->server, (guint) opt.connections);
+  mr_http_server_set_max_connections (s->server, (guint) opt.connections);
   return 0;
 }
 
@@ -453,7 +453,7 @@
   argp_parse (&argp, argc, argv, 0, NULL, NULL);
   opt.count = CLAMP (opt.count, 1, COUNT_MAX);
   signal (SIGPIPE, SIG_IGN);
-  process.loop_host = (MrLoopHost){ .on_tick = S_on_tick };
+  process.loop_host = (MrLoopHandler){ .on_tick = S_on_tick };
   process.loop = mr_loop_new (&process.loop_host, DESCRIPTORS);
   process.catalogue =
       mr_catalogue_new ((guint) opt.records, (guint) opt.shards, (guint32) opt.seed);
--- a/src/accepted.c
+++ b/src/accepted_document.c
@@ -1,9 +1,9 @@
-#include "accepted.h"
+#include "accepted_document.h"
 
 #include <jansson.h>
 
 GString *
-mr_accepted_encode (guint64 source, MrText document)
+mr_accepted_document_encode (guint64 source, MrText document)
 {
   GString *out = g_string_new (NULL);
   g_string_append_printf (out, "{\"source\":%" G_GUINT64_FORMAT ",", source);
@@ -15,9 +15,9 @@
 }
 
 MrStatus
-mr_accepted_parse (MrText body, MrAccepted *accepted)
+mr_accepted_document_parse (MrText body, MrAcceptedDocument *accepted)
 {
-  *accepted = (MrAccepted){ 0 };
+  *accepted = (MrAcceptedDocument){ 0 };
   json_error_t error;
   json_t *root = json_loadb (body.data ? body.data : "", body.len, 0, &error);
   json_t *source = json_object_get (root, "source");
@@ -27,7 +27,7 @@
   if (!json_is_integer (source) || (!document && !accepted->deleted))
     status = mr_fail (MR_ERROR_INVALID, "accepted object: expected source and document");
   else
-    accepted->source = (guint64) json_integer_value (source);
+    accepted->document_version = (guint64) json_integer_value (source);
   if (status == MR_OK && document)
     accepted->document = json_dumps (document, JSON_COMPACT | JSON_PRESERVE_ORDER);
   json_decref (root);
@@ -35,8 +35,8 @@
 }
 
 void
-mr_accepted_clear (MrAccepted *accepted)
+mr_accepted_document_clear (MrAcceptedDocument *accepted)
 {
   free (accepted->document);
-  *accepted = (MrAccepted){ 0 };
+  *accepted = (MrAcceptedDocument){ 0 };
 }
--- a/src/accepted.h
+++ b/src/accepted_document.h
@@ -9,12 +9,12 @@
 
 typedef struct
 {
-  guint64 source; /* version of the operators' document */
+  guint64 document_version; /* version of the operators' document */
   gboolean deleted;
   char *document; /* JSON text; NULL if deleted */
-} MrAccepted;
+} MrAcceptedDocument;
 
 /* @document: JSON text, or empty for a deleted one. */
-GString *mr_accepted_encode (guint64 source, MrText document);
-MrStatus mr_accepted_parse (MrText body, MrAccepted *accepted);
-void mr_accepted_clear (MrAccepted *accepted);
+GString *mr_accepted_document_encode (guint64 source, MrText document);
+MrStatus mr_accepted_document_parse (MrText body, MrAcceptedDocument *accepted);
+void mr_accepted_document_clear (MrAcceptedDocument *accepted);
--- a/src/batch.c
+++ b/src/batch.c
@@ -1,28 +1,28 @@
 #include "batch.h"
 
-static const char *const class_names[MR_CLASS_COUNT] = {
-  [MR_CLASS_URGENT] = "urgent",
-  [MR_CLASS_INTERACTIVE] = "interactive",
-  [MR_CLASS_BROWSING] = "browsing",
+static const char *const class_names[MR_TRAFFIC_CLASS_COUNT] = {
+  [MR_TRAFFIC_CLASS_URGENT] = "urgent",
+  [MR_TRAFFIC_CLASS_INTERACTIVE] = "interactive",
+  [MR_TRAFFIC_CLASS_BROWSING] = "browsing",
 };
 
 const char *
-mr_class_name (MrClass cls)
+mr_traffic_class_name (MrTrafficClass cls)
 {
   return class_names[cls];
 }
 
-MrClass
-mr_class_from_name (MrText name)
+MrTrafficClass
+mr_traffic_class_from_name (MrText name)
 {
-  for (int i = 0; i < MR_CLASS_COUNT; i++)
+  for (int i = 0; i < MR_TRAFFIC_CLASS_COUNT; i++)
     if (mr_text_equal (mr_text (class_names[i]), name))
-      return (MrClass) i;
-  return MR_CLASS_COUNT;
+      return (MrTrafficClass) i;
+  return MR_TRAFFIC_CLASS_COUNT;
 }
 
 MrFingerprint
-mr_batch_content (const char *service, gboolean order, MrText query, guint64 content_key)
+mr_batch_fingerprint (const char *service, gboolean order, MrText query, guint64 content_key)
 {
   const MrText texts[] = { mr_text (order ? "order" : "search"), mr_text (service), query };
   return mr_fingerprint_compute (texts, G_N_ELEMENTS (texts), content_key);
@@ -34,10 +34,10 @@
   MrBatch *batch = g_new0 (MrBatch, 1);
   batch->id = id;
   batch->map = mr_shard_map_ref (map);
-  batch->query = g_string_new (NULL);
+  batch->payload = g_string_new (NULL);
   batch->shard_count = shard_count;
   batch->shards = g_new0 (guint, shard_count);
-  batch->policy.owners = 1;
+  batch->policy.owner_count = 1;
   return batch;
 }
 
@@ -47,7 +47,7 @@
   if (!batch)
     return;
   mr_shard_map_unref (batch->map);
-  g_string_free (batch->query, TRUE);
+  g_string_free (batch->payload, TRUE);
   g_free (batch->shards);
   g_free (batch);
 }
@@ -58,7 +58,7 @@
   MrPartial *partial = g_new0 (MrPartial, 1);
   partial->batch_id = batch_id;
   partial->kind = kind;
-  partial->blame = MR_NO_TARGET_INDEX;
+  partial->straggler = MR_NO_TARGET_INDEX;
   return partial;
 }
 
@@ -77,8 +77,8 @@
   for (guint i = 0; i < partial->hit_count; i++)
     mr_hit_clear (&partial->hits[i]);
   g_free (partial->hits);
-  g_free (partial->covered);
-  if (partial->reply)
-    g_string_free (partial->reply, TRUE);
+  g_free (partial->covered_shards);
+  if (partial->order_reply)
+    g_string_free (partial->order_reply, TRUE);
   g_free (partial);
 }
--- a/src/batch.h
+++ b/src/batch.h
@@ -11,15 +11,15 @@
 
 typedef enum
 {
-  MR_CLASS_URGENT,
-  MR_CLASS_INTERACTIVE,
-  MR_CLASS_BROWSING,
-  MR_CLASS_COUNT,
-} MrClass;
+  MR_TRAFFIC_CLASS_URGENT,
+  MR_TRAFFIC_CLASS_INTERACTIVE,
+  MR_TRAFFIC_CLASS_BROWSING,
+  MR_TRAFFIC_CLASS_COUNT,
+} MrTrafficClass;
 
-const char *mr_class_name (MrClass cls);
-/* MR_CLASS_COUNT if @name is none. */
-MrClass mr_class_from_name (MrText name);
+const char *mr_traffic_class_name (MrTrafficClass cls);
+/* MR_TRAFFIC_CLASS_COUNT if @name is none. */
+MrTrafficClass mr_traffic_class_from_name (MrText name);
 
 typedef struct
 {
@@ -30,28 +30,28 @@
   /* Writes `data` out of what a codec has read; most hits of a search are
    * dropped in the merge, and writing them too was a twentieth of a call. */
   char *(*render) (const void *source);
-  const void *source;
+  const void *render_source;
 } MrHit;
 
 /* Policy that travels with a batch, from the service's document. */
 typedef struct
 {
-  double extra_calls;
+  double extra_call_ratio;
   double hedge_quantile;
   guint target_limit; /* 0: the target's slots */
-  guint owners;       /* daemons that share a target's slots */
-} MrPolicy;
+  guint owner_count;  /* daemons that share a target's slots */
+} MrBatchPolicy;
 
 typedef struct
 {
   guint64 id;      /* unique within the root's incarnation, never reused */
   MrShardMap *map; /* the pinned snapshot; a reference */
-  MrClass traffic_class;
+  MrTrafficClass traffic_class;
   MrTime deadline; /* on the clock of the process that holds the batch */
   guint top_k;
-  GString *query; /* search text, or an order's body */
-  MrPolicy policy;
-  gboolean order;
+  GString *payload; /* search text, or an order's body */
+  MrBatchPolicy policy;
+  gboolean is_order;
   char ticket[160]; /* of an order */
   guint shard_count;
   guint *shards; /* indices in the map */
@@ -59,11 +59,11 @@
 
 typedef enum
 {
-  MR_PARTIAL_ANSWER,   /* covers what it lists; may be nothing */
-  MR_PARTIAL_REFUSED,  /* overload; nothing was sent to any target */
-  MR_PARTIAL_DEADLINE, /* can't be met; nothing was sent to any target */
-  MR_PARTIAL_NO_MAP,   /* this owner does not know the snapshot */
-  MR_PARTIAL_WORKING,  /* not a result yet: the owner lives and works on it */
+  MR_PARTIAL_ANSWER,      /* covers what it lists; may be nothing */
+  MR_PARTIAL_REFUSED,     /* overload; nothing was sent to any target */
+  MR_PARTIAL_DEADLINE,    /* can't be met; nothing was sent to any target */
+  MR_PARTIAL_NO_MAP,      /* this owner does not know the snapshot */
+  MR_PARTIAL_IN_PROGRESS, /* not a result yet: the owner lives and works on it */
 } MrPartialKind;
 
 typedef enum
@@ -78,15 +78,15 @@
   guint64 batch_id;
   MrPartialKind kind;
   gint64 retry_after_ms; /* of a refusal; 0: no advice */
-  guint calls;           /* calls started at targets */
-  guint extra;           /* of these, hedges and retries */
-  guint blame;           /* target index in the map that ended last or is missing */
-  guint covered_count;
-  guint *covered; /* shard indices, each once */
+  guint call_count;      /* calls started at targets */
+  guint extra_calls;     /* of these, hedges and retries */
+  guint straggler;       /* target index in the map that ended last or is missing */
+  guint covered_shard_count;
+  guint *covered_shards; /* shard indices, each once */
   guint hit_count;
-  MrHit *hits;            /* best first, only of covered shards */
-  MrOrderOutcome outcome; /* of an order */
-  GString *reply;         /* of an order that ran; may be NULL */
+  MrHit *hits;                  /* best first, only of covered shards */
+  MrOrderOutcome order_outcome; /* of an order */
+  GString *order_reply;         /* of an order that ran; may be NULL */
 } MrPartial;
 
 /* No target to blame. */
@@ -94,7 +94,7 @@
 
 /* Fingerprint of what a search of @service asks for, or an order. */
 MrFingerprint
-mr_batch_content (const char *service, gboolean order, MrText query, guint64 content_key);
+mr_batch_fingerprint (const char *service, gboolean order, MrText query, guint64 content_key);
 
 MrBatch *mr_batch_new (guint64 id, MrShardMap *map, guint shard_count);
 void mr_batch_free (MrBatch *batch);
--- a/src/caller_server.c
+++ b/src/caller_server.c
@@ -31,7 +31,7 @@
 
 struct _MrCaller
 {
-  MrStreamHost host;
+  MrStreamHandler host;
   MrCallerServer *server;
   MrStream *stream;
   GList link; /* in the server's callers */
@@ -145,8 +145,8 @@
 {
   mr_http_parser_reset (c->parser);
   const MrCallerLimits *limits = &c->server->limits;
-  mr_http_parser_set_limits (
-      c->parser, (MrHttpLimits){ .head = limits->max_head_bytes, .body = limits->max_body_bytes });
+  mr_http_parser_set_limits (c->parser, (MrHttpLimits){ .max_head_bytes = limits->max_head_bytes,
+                                                        .max_body_bytes = limits->max_body_bytes });
   c->continued = FALSE;
   mr_timers_set (c->server->timers, &c->timer, now + limits->idle_timeout + IDLE_GRACE);
 }
@@ -170,17 +170,17 @@
     case MR_HTTP_HEAD:
       return;
     case MR_HTTP_BODY:
-      if (!c->continued && mr_http_parser_waits_for_continue (c->parser))
+      if (!c->continued && mr_http_parser_expects_continue (c->parser))
         mr_stream_write (c->stream, MR_TEXT ("HTTP/1.1 100 Continue\r\n\r\n"));
       c->continued = TRUE;
       return;
-    case MR_HTTP_BAD:
+    case MR_HTTP_MALFORMED:
       S_refuse (c, STATUS_BAD_REQUEST);
       return;
-    case MR_HTTP_HEAD_BIG:
+    case MR_HTTP_HEAD_TOO_LARGE:
       S_refuse (c, STATUS_HEAD_BIG);
       return;
-    case MR_HTTP_BODY_BIG:
+    case MR_HTTP_BODY_TOO_LARGE:
       S_refuse (c, STATUS_BODY_BIG);
       return;
     case MR_HTTP_DONE:
@@ -194,7 +194,7 @@
 }
 
 static void
-S_received (MrStreamHost *host, MrStream *stream, MrText bytes)
+S_received (MrStreamHandler *host, MrStream *stream, MrText bytes)
 {
   MrCaller *c = (MrCaller *) host;
   (void) stream;
@@ -214,25 +214,25 @@
   g_string_append_len (c->ahead, bytes.data, (gssize) bytes.len);
   if (c->ahead->len > AHEAD_MAX + c->server->limits.max_body_bytes)
     {
-      c->server->host->gone (c->server->host, c);
+      c->server->host->disconnected (c->server->host, c);
       S_close (c);
     }
 }
 
 static void
-S_ended (MrStreamHost *host, MrStream *stream, MrStreamEnd end)
+S_ended (MrStreamHandler *host, MrStream *stream, MrStreamEnd end)
 {
   MrCaller *c = (MrCaller *) host;
   (void) stream;
   (void) end;
   if (c->busy)
-    c->server->host->gone (c->server->host, c);
+    c->server->host->disconnected (c->server->host, c);
   S_caller_free (c);
 }
 
-static const MrStreamHost stream_host = {
-  .received = S_received,
-  .ended = S_ended,
+static const MrStreamHandler stream_host = {
+  .on_data = S_received,
+  .on_end = S_ended,
 };
 
 static void
@@ -248,7 +248,7 @@
   c->ahead = g_string_new (NULL);
   c->link.data = c;
   g_queue_push_tail_link (&server->callers, &c->link);
-  mr_stream_set_host (stream, &c->host);
+  mr_stream_set_handler (stream, &c->host);
   S_await_request (c, mr_now ());
 }
 
@@ -314,7 +314,7 @@
       MrCaller *c = link->data;
       link = link->next;
       if (!c->busy && mr_http_parser_state (c->parser) == MR_HTTP_IDLE && c->ahead->len == 0 &&
-          mr_stream_unsent (c->stream) == 0)
+          mr_stream_buffered_bytes (c->stream) == 0)
         S_close (c);
     }
 }
--- a/src/caller_server.h
+++ b/src/caller_server.h
@@ -22,7 +22,7 @@
                    const MrHttpParser *request,
                    MrTime began);
   /* The caller of an unanswered request has gone; it must not be answered. */
-  void (*gone) (MrCallerServerHost *host, MrCaller *caller);
+  void (*disconnected) (MrCallerServerHost *host, MrCaller *caller);
 };
 
 /* NULL with a message if the address can't be had. */
--- a/src/control_evidence.c
+++ b/src/control_evidence.c
@@ -32,8 +32,9 @@
 S_log (const char *name, const MrEvidence *evidence)
 {
   MrStanding standing = mr_evidence_standing (evidence, mr_unix_time ());
-  MrLogLine *line = mr_log_begin (
-      standing == MR_STANDING_QUARANTINED ? MR_LOG_WARNING : MR_LOG_NOTICE, MR_EVENT_EVIDENCE);
+  MrLogLine *line =
+      mr_log_begin (standing == MR_STANDING_QUARANTINED ? MR_LOG_WARNING : MR_LOG_NOTICE,
+                    MR_EVENT_QUARANTINE_EVIDENCE);
   mr_log_text (line, "content", mr_text (name));
   mr_log_text (line, "standing", mr_text (mr_standing_name (standing)));
   mr_log_number (line, "ended", mr_evidence_crash_count (evidence));
@@ -77,7 +78,7 @@
   MrEvidence evidence = mr_evidence_unpack (version);
   if (!mr_fingerprint_read (mr_text (name), &fingerprint))
     {
-      mr_log (MR_LOG_ERROR, MR_EVENT_OBJECT_BAD, "quarantine/%s: the name is not a fingerprint",
+      mr_log (MR_LOG_ERROR, MR_EVENT_OBJECT_INVALID, "quarantine/%s: the name is not a fingerprint",
               name);
       mr_registry_remove (task->registry, MR_OBJECT_EVIDENCE, name);
       return;
@@ -142,7 +143,8 @@
     }
   if (!mr_evidence_read (mr_text_of (object->body), &evidence))
     {
-      mr_log (MR_LOG_ERROR, MR_EVENT_OBJECT_BAD, "quarantine/%s: invalid evidence", object->name);
+      mr_log (MR_LOG_ERROR, MR_EVENT_OBJECT_INVALID, "quarantine/%s: invalid evidence",
+              object->name);
       return;
     }
   MrSavedEvidence *saved = S_get_saved (task, object->name);
@@ -205,7 +207,7 @@
     return;
   g_autofree char *json = mr_evidence_write (evidence, mr_unix_time ());
   MrPlatformRequest *request = mr_platform_request_new (MR_PLATFORM_WRITE, kind, name);
-  request->expected = saved->version;
+  request->expected_version = saved->version;
   request->body = g_string_new (json);
   saved->write_pending = TRUE;
   mr_control_platform_request (task, request);
--- a/src/control_peers.c
+++ b/src/control_peers.c
@@ -48,7 +48,7 @@
   batch->top_k = wire->top_k;
   batch->policy = wire->policy;
   batch->deadline = mr_now () + wire->remaining_us;
-  g_string_append_len (batch->query, wire->query.data, (gssize) wire->query.len);
+  g_string_append_len (batch->payload, wire->query.data, (gssize) wire->query.len);
   MrOrigin origin = { .incarnation = wire->root_incarnation };
   g_strlcpy (origin.root, message->sender, sizeof origin.root);
   mr_metrics_add (MR_METRIC_BATCHES_REMOTE, 1);
@@ -74,7 +74,7 @@
 {
   MrOrigin origin = { .incarnation = message->root_incarnation, .batch_id = message->batch_id };
   g_strlcpy (origin.root, message->sender, sizeof origin.root);
-  mr_mailbox_post (task->target_mailbox, &mr_forget_message_new (&origin)->base);
+  mr_mailbox_post (task->target_mailbox, &mr_cancel_batch_message_new (&origin)->base);
 }
 
 static void
@@ -85,7 +85,7 @@
   g_strlcpy (order->from, message->sender, sizeof order->from);
   g_strlcpy (order->service, wire->service, sizeof order->service);
   order->incarnation = wire->sender_incarnation;
-  order->request = wire->request;
+  order->request_id = wire->request_id;
   order->ticket = g_strdup (wire->ticket);
   order->remaining_ms = wire->remaining_ms;
   order->body = g_string_new_len (wire->body.data, (gssize) wire->body.len);
@@ -99,7 +99,7 @@
   if (wire->sender_incarnation != task->incarnation)
     return;
   MrOrderResultMessage *result = mr_order_result_message_new ();
-  result->request = wire->request;
+  result->request_id = wire->request_id;
   result->result = wire->result;
   result->retry_after_ms = wire->retry_after_ms;
   result->body = g_string_new_len (wire->body.data, (gssize) wire->body.len);
@@ -114,7 +114,7 @@
   const MrMember *from = &heartbeat->from;
   const MrMember *known = mr_membership_find (task->membership, from->name);
   if (heartbeat->kind == MR_HEARTBEAT_PING && (!known || known->incarnation < from->incarnation))
-    mr_peer_link_renew (task->link, now, from->ip, from->peer_port);
+    mr_peer_link_reconnect (task->link, now, from->ip, from->peer_port);
 }
 
 static void
@@ -133,11 +133,11 @@
                                      message->heartbeat.registry_digest,
                                      task->relay && message->heartbeat.from.busy);
       break;
-    case MR_WIRE_NEWS:
+    case MR_WIRE_ANNOUNCE:
     case MR_WIRE_GET:
     case MR_WIRE_OBJECTS:
-    case MR_WIRE_LIST:
-    case MR_WIRE_RANGES:
+    case MR_WIRE_RANGE_SUMMARIES:
+    case MR_WIRE_RANGE_DIGESTS:
       mr_replication_receive (task->replication, now, message);
       break;
     case MR_WIRE_BATCH:
@@ -146,7 +146,7 @@
     case MR_WIRE_PARTIAL:
       S_on_partial (task, message);
       break;
-    case MR_WIRE_FORGET:
+    case MR_WIRE_CANCEL_BATCH:
       S_on_forget (task, message);
       break;
     case MR_WIRE_ORDER:
@@ -188,7 +188,7 @@
       else
         {
           mr_metrics_add (MR_METRIC_PEER_BAD, 1);
-          mr_log (MR_LOG_WARNING, MR_EVENT_PEER_MESSAGE_BAD,
+          mr_log (MR_LOG_WARNING, MR_EVENT_PEER_MESSAGE_INVALID,
                   "rejected a peer message of %zu bytes: %s", bytes->len, mr_status_message ());
         }
       g_string_free (bytes, TRUE);
--- a/src/control_platform.c
+++ b/src/control_platform.c
@@ -56,7 +56,7 @@
     MrControllerHost *host, const char *kind, const char *name, guint64 expected, MrText body)
 {
   MrPlatformRequest *request = mr_platform_request_new (MR_PLATFORM_WRITE, kind, name);
-  request->expected = expected;
+  request->expected_version = expected;
   request->body = g_string_new_len (body.data, (gssize) body.len);
   mr_control_platform_request (TASK_OF (host, controller_host), request);
 }
@@ -145,13 +145,13 @@
           *next = MIN (*next, watch->due);
           continue;
         }
-      MrPlatformAction action = i == WATCH_VMS ? MR_PLATFORM_VMS : MR_PLATFORM_LIST;
+      MrPlatformAction action = i == WATCH_VMS ? MR_PLATFORM_LIST_VMS : MR_PLATFORM_LIST;
       MrPlatformRequest *request = mr_platform_request_new (action, watch_kinds[i].kind, "");
-      request->since = watch->since;
-      g_strlcpy (request->after, watch->page_after, sizeof request->after);
+      request->since_revision = watch->since;
+      g_strlcpy (request->after_name, watch->page_after, sizeof request->after_name);
       if (watcher && watch->has_succeeded && watch->retry_delay == 0 && watch->since > 0)
         request->wait_ms = S_watch_wait_ms (task, i);
-      request->call = mr_watch_begin (watch);
+      request->watch_call = mr_watch_begin (watch);
       mr_control_platform_request (task, request);
     }
 }
@@ -180,7 +180,8 @@
     S_renew_evacuation_watch (task);
   mr_removal_filter_set_store_up (task->removal_filter, mr_now (), up);
   mr_membership_set_platform_unreachable (task->membership, mr_now (), !up);
-  mr_log (up ? MR_LOG_NOTICE : MR_LOG_WARNING, up ? MR_EVENT_PLATFORM_UP : MR_EVENT_PLATFORM_DOWN,
+  mr_log (up ? MR_LOG_NOTICE : MR_LOG_WARNING,
+          up ? MR_EVENT_PLATFORM_REACHABLE : MR_EVENT_PLATFORM_UNREACHABLE,
           up ? "the platform answers again"
              : "the platform does not answer; the objects in force are kept");
 }
@@ -317,15 +318,15 @@
 S_on_relay_list (MrControlTask *task, MrTime now, int index, const MrPlatformResult *result)
 {
   MrWatch *watch = &task->watches[index];
-  gboolean full = result->request->since == 0;
+  gboolean full = result->request->since_revision == 0;
   mr_removal_filter_set_object_count (task->removal_filter,
                                       mr_target_table_count (task->target_table));
-  if (result->expired)
+  if (result->history_expired)
     {
       watch->since = 0;
       return;
     }
-  if (full && result->request->after[0] == '\0')
+  if (full && result->request->after_name[0] == '\0')
     {
       watch->listing_revision = result->revision;
       if (index == WATCH_TARGETS)
@@ -339,9 +340,9 @@
   /* The store announces more objects, but an empty page has no name to continue after. The
    * listing is restarted, since the objects on the pages not read would otherwise count as
    * removed. */
-  if (full && result->more && result->objects->len == 0)
+  if (full && result->truncated && result->objects->len == 0)
     return;
-  if (full && result->more)
+  if (full && result->truncated)
     {
       const MrPlatformObject *last = g_ptr_array_index (result->objects, result->objects->len - 1);
       g_strlcpy (watch->page_after, last->name, sizeof watch->page_after);
@@ -386,7 +387,7 @@
     mr_control_start_restriction_failed (task, now, index);
   /* The next page of a full listing, and the first watch after it, are requested at once. */
   gboolean more = task->watches[index].page_after[0] != '\0';
-  if (success && task->relay && (more || (watcher && result->request->since == 0)))
+  if (success && task->relay && (more || (watcher && result->request->since_revision == 0)))
     task->watches[index].due = now;
 }
 
@@ -399,7 +400,7 @@
   if (result->status != MR_OK && result->status != MR_ERROR_NOT_FOUND)
     {
       mr_controller_object_written (task->controller, now, request->kind, mr_text (request->name),
-                                    MR_ERROR_UNAVAIL, 0);
+                                    MR_ERROR_UNAVAILABLE, 0);
       return;
     }
   if (result->objects->len > 0)
@@ -432,8 +433,8 @@
 static int
 S_watch_index (const MrPlatformRequest *request)
 {
-  const char *kind = request->action == MR_PLATFORM_VMS ? "vms" : request->kind;
-  if (request->action != MR_PLATFORM_LIST && request->action != MR_PLATFORM_VMS)
+  const char *kind = request->action == MR_PLATFORM_LIST_VMS ? "vms" : request->kind;
+  if (request->action != MR_PLATFORM_LIST && request->action != MR_PLATFORM_LIST_VMS)
     return WATCH_COUNT;
   int index = 0;
   while (index < WATCH_COUNT && !g_str_equal (watch_kinds[index].kind, kind))
@@ -446,7 +447,8 @@
 {
   MrTime now = mr_now ();
   int index = S_watch_index (result->request);
-  if (index < WATCH_COUNT && !mr_watch_is_current (&task->watches[index], result->request->call))
+  if (index < WATCH_COUNT &&
+      !mr_watch_is_current (&task->watches[index], result->request->watch_call))
     return;
   gboolean up = result->status == MR_OK || result->status == MR_ERROR_NOT_FOUND ||
                 result->status == MR_ERROR_CONFLICT;
--- a/src/control_private.h
+++ b/src/control_private.h
@@ -11,13 +11,13 @@
 #include "bootstrap.h"
 #include "control_task.h"
 #include "controller.h"
-#include "message.h"
 #include "peer_link.h"
 #include "quarantine.h"
 #include "removal_filter.h"
 #include "replication.h"
 #include "roster.h"
 #include "target_table.h"
+#include "task_message.h"
 #include "watch.h"
 #include <stdatomic.h>
 
--- a/src/control_start.c
+++ b/src/control_start.c
@@ -73,7 +73,7 @@
   if (task->deferral_over)
     return;
   task->deferral_over = TRUE;
-  mr_log (MR_LOG_WARNING, MR_EVENT_START_WITHOUT,
+  mr_log (MR_LOG_WARNING, MR_EVENT_START_INCOMPLETE,
           "the store does not list %s; serving without them",
           !S_has_read (task, WATCH_EVACUATIONS) ? "evacuations" : "quarantines");
 }
--- a/src/control_task.c
+++ b/src/control_task.c
@@ -1,6 +1,6 @@
 #include "control_private.h"
 
-#include "accepted.h"
+#include "accepted_document.h"
 #include "evacuation.h"
 #include "log.h"
 #include "metrics.h"
@@ -73,9 +73,9 @@
   g_autoptr (GString) prepared = S_prepare (task, to, bytes);
   if (heartbeat->kind == MR_HEARTBEAT_PING &&
       heartbeat->members_request == MR_MEMBERS_REQUEST_SAMPLE)
-    mr_peer_link_ask (task->link, mr_now (), to->ip, to->peer_port, prepared);
+    mr_peer_link_request (task->link, mr_now (), to->ip, to->peer_port, prepared);
   else if (heartbeat->kind == MR_HEARTBEAT_ACK && task->ack_on_connection)
-    mr_peer_link_answer (task->link, prepared);
+    mr_peer_link_reply (task->link, prepared);
   else
     mr_peer_link_send (task->link, mr_now (), to->ip, to->peer_port, prepared);
 }
@@ -129,8 +129,9 @@
       mr_shard_map_parse (mr_text (object->name), object->version, mr_text_of (object->body));
   if (!map)
     {
-      mr_log (MR_LOG_ERROR, MR_EVENT_OBJECT_BAD, "shardmaps/%s version %" G_GUINT64_FORMAT ": %s",
-              object->name, object->version, mr_status_message ());
+      mr_log (MR_LOG_ERROR, MR_EVENT_OBJECT_INVALID,
+              "shardmaps/%s version %" G_GUINT64_FORMAT ": %s", object->name, object->version,
+              mr_status_message ());
       return;
     }
   GQueue *queue = mr_control_shard_maps (task, object->name);
@@ -146,7 +147,7 @@
   MrConfiguration *configuration = mr_configuration_parse (mr_text_of (object->body));
   if (!configuration)
     {
-      mr_log (MR_LOG_ERROR, MR_EVENT_OBJECT_BAD,
+      mr_log (MR_LOG_ERROR, MR_EVENT_OBJECT_INVALID,
               "configurations/%s version %" G_GUINT64_FORMAT ": %s", object->name, object->version,
               mr_status_message ());
       return;
@@ -172,7 +173,7 @@
       return;
     }
   mr_target_table_remove (task->target_table, object->name);
-  mr_log (MR_LOG_ERROR, MR_EVENT_OBJECT_BAD, "targets/%s version %" G_GUINT64_FORMAT ": %s",
+  mr_log (MR_LOG_ERROR, MR_EVENT_OBJECT_INVALID, "targets/%s version %" G_GUINT64_FORMAT ": %s",
           object->name, object->version, mr_status_message ());
 }
 
@@ -251,14 +252,14 @@
 static void
 S_on_message (MrControlTask *task, MrMessage *message)
 {
-  if (message->type == MR_MESSAGE_SEND)
+  if (message->type == MR_MESSAGE_PEER_SEND)
     {
-      MrSendMessage *send = (MrSendMessage *) message;
+      MrPeerSendMessage *send = (MrPeerSendMessage *) message;
       mr_control_send (task, send->to, g_steal_pointer (&send->bytes));
     }
-  else if (message->type == MR_MESSAGE_SELF)
+  else if (message->type == MR_MESSAGE_LOCAL_STATE)
     {
-      const MrSelfMessage *self = (const MrSelfMessage *) message;
+      const MrLocalStateMessage *self = (const MrLocalStateMessage *) message;
       mr_membership_set_state (task->membership, mr_now (), self->state);
       mr_membership_set_busy (task->membership, mr_now (), self->busy);
       mr_membership_set_load (task->membership, mr_now (), self->load);
@@ -294,7 +295,7 @@
     {
       task->next_link_prune = now + LINK_PRUNE_GAP;
       mr_membership_foreach (task->membership, S_close_dead_link, task->link);
-      mr_peer_link_prune (task->link, now);
+      mr_peer_link_close_idle (task->link, now);
     }
   if (now >= task->next_traffic_log)
     {
--- a/src/control_view.c
+++ b/src/control_view.c
@@ -1,6 +1,6 @@
 #include "control_private.h"
 
-#include "accepted.h"
+#include "accepted_document.h"
 #include "evacuation.h"
 #include "log.h"
 #include "metrics.h"
@@ -43,19 +43,19 @@
 S_add_service (const MrObject *object, void *user)
 {
   ViewBuild *build = user;
-  MrAccepted accepted;
+  MrAcceptedDocument accepted;
   MrDocument document;
-  if (mr_accepted_parse (mr_text_of (object->body), &accepted) != MR_OK)
+  if (mr_accepted_document_parse (mr_text_of (object->body), &accepted) != MR_OK)
     {
-      mr_log (MR_LOG_ERROR, MR_EVENT_OBJECT_BAD, "accepted/%s: %s", object->name,
+      mr_log (MR_LOG_ERROR, MR_EVENT_OBJECT_INVALID, "accepted/%s: %s", object->name,
               mr_status_message ());
       return;
     }
   if (!accepted.deleted &&
       mr_document_parse (mr_text (object->name), mr_text (accepted.document), &document) == MR_OK)
-    mr_view_add_service (build->view, &document, accepted.source, object->version,
+    mr_view_add_service (build->view, &document, accepted.document_version, object->version,
                          g_queue_peek_head (mr_control_shard_maps (build->task, object->name)));
-  mr_accepted_clear (&accepted);
+  mr_accepted_document_clear (&accepted);
 }
 
 void
--- a/src/controller.c
+++ b/src/controller.c
@@ -1,6 +1,6 @@
 #include "controller.h"
 
-#include "accepted.h"
+#include "accepted_document.h"
 #include "document.h"
 #include "log.h"
 #include "safeguard.h"
@@ -150,11 +150,11 @@
       S_set_string (state->status_body, body);
       return;
     }
-  MrAccepted accepted;
-  if (version == 0 || mr_accepted_parse (body, &accepted) != MR_OK)
+  MrAcceptedDocument accepted;
+  if (version == 0 || mr_accepted_document_parse (body, &accepted) != MR_OK)
     return;
-  state->version_in_force = accepted.source;
-  mr_accepted_clear (&accepted);
+  state->version_in_force = accepted.document_version;
+  mr_accepted_document_clear (&accepted);
 }
 
 void
@@ -173,7 +173,7 @@
       mr_controller_object_read (c, now, kind, name, version, mr_text_of (object->pending_body));
       return;
     }
-  if (status == MR_ERROR_UNAVAIL)
+  if (status == MR_ERROR_UNAVAILABLE)
     {
       object->busy = FALSE;
       object->next_attempt = now + RETRY_DELAY;
@@ -181,8 +181,8 @@
     }
   /* Either another controller won the race, or the reply was lost and the write may have
    * succeeded. Only the platform knows, so the object is read before anything else is written. */
-  if (status == MR_ERROR_UNSURE)
-    mr_log (MR_LOG_NOTICE, MR_EVENT_WRITE_UNSURE,
+  if (status == MR_ERROR_OUTCOME_UNKNOWN)
+    mr_log (MR_LOG_NOTICE, MR_EVENT_WRITE_OUTCOME_UNKNOWN,
             "outcome of the write of %s/%s is unknown; reading it back", kind, state->name);
   object->next_attempt = now + RESULT_TIMEOUT;
   c->host->read (c->host, kind, state->name);
@@ -266,8 +266,9 @@
   if (S_should_accept (state))
     {
       if (S_may_write (c, now, state, "accepted", &state->accepted))
-        S_write (c, now, state, "accepted", &state->accepted,
-                 mr_accepted_encode (state->document_version, mr_text_of (state->document)));
+        S_write (
+            c, now, state, "accepted", &state->accepted,
+            mr_accepted_document_encode (state->document_version, mr_text_of (state->document)));
       *next = MIN (*next, state->accepted.next_attempt);
       return;
     }
--- a/src/controller.h
+++ b/src/controller.h
@@ -45,8 +45,8 @@
                                 guint64 version,
                                 MrText body);
 
-/* Reports the end of a write: MR_OK with the new version, MR_ERROR_CONFLICT, MR_ERROR_UNSURE
- * or MR_ERROR_UNAVAIL. */
+/* Reports the end of a write: MR_OK with the new version, MR_ERROR_CONFLICT,
+ * MR_ERROR_OUTCOME_UNKNOWN or MR_ERROR_UNAVAILABLE. */
 void mr_controller_object_written (MrController *controller,
                                    MrTime now,
                                    const char *kind,
--- a/src/ctl.h
+++ b/src/ctl.h
@@ -48,8 +48,8 @@
 /* Prints "merlinringctl: ..." to standard error and returns @exit_code. */
 CtlExit ctl_fail (CtlExit exit_code, const char *format, ...) G_GNUC_PRINTF (2, 3);
 
-/* One HTTP exchange with @address; MR_ERROR_UNAVAIL if nothing was sent,
- * MR_ERROR_UNSURE if no whole answer came.  @body may be empty. */
+/* One HTTP exchange with @address; MR_ERROR_UNAVAILABLE if nothing was sent,
+ * MR_ERROR_OUTCOME_UNKNOWN if no whole answer came.  @body may be empty. */
 MrStatus ctl_http (const CtlOptions *options,
                    const char *address,
                    const char *method,
--- a/src/ctl_document.c
+++ b/src/ctl_document.c
@@ -33,7 +33,7 @@
       json_decref (root);
     }
   else if (result == MR_OK && status != 404)
-    result = mr_fail (MR_ERROR_UNAVAIL, "platform %s: status %d", options->platform, status);
+    result = mr_fail (MR_ERROR_UNAVAILABLE, "platform %s: status %d", options->platform, status);
   g_string_free (answer, TRUE);
   return result;
 }
@@ -306,7 +306,7 @@
   CtlExit result = CTL_OK;
   MrStatus sent =
       ctl_http (options, options->platform, "PUT", path, mr_text_of (body), &status, answer);
-  if (sent == MR_ERROR_UNSURE)
+  if (sent == MR_ERROR_OUTCOME_UNKNOWN)
     result = S_settle (options, name, body, based_on, &version);
   else if (sent != MR_OK)
     result = ctl_fail (CTL_FAILED, "%s; nothing was written", mr_status_message ());
@@ -332,7 +332,7 @@
 S_based_on (const CtlOptions *options, guint64 current, guint64 *based_on)
 {
   *based_on = current;
-  if (options->version && !mr_text_to_u64 (mr_text (options->version), based_on))
+  if (options->version && !mr_text_parse_u64 (mr_text (options->version), based_on))
     return ctl_fail (CTL_USAGE, "--version: value '%s', expected a whole number", options->version);
   return CTL_OK;
 }
--- a/src/ctl_evacuation.c
+++ b/src/ctl_evacuation.c
@@ -24,7 +24,7 @@
   g_autofree char *path = g_strdup_printf ("/v1/objects/evacuations/%s%s", domain, query);
   g_string_truncate (answer, 0);
   MrStatus result = ctl_http (options, options->platform, method, path, body, status, answer);
-  if (result == MR_ERROR_UNSURE)
+  if (result == MR_ERROR_OUTCOME_UNKNOWN)
     return ctl_fail (CTL_UNKNOWN, "platform %s: no answer; see 'merlinringctl evacuations'",
                      options->platform);
   if (result != MR_OK)
--- a/src/ctl_http.c
+++ b/src/ctl_http.c
@@ -14,7 +14,7 @@
 
 typedef struct
 {
-  MrLoopHost host;
+  MrLoopHandler host;
   gboolean done;
   MrHttpOutcome outcome;
   int status;
@@ -22,14 +22,14 @@
 } Exchange;
 
 static MrTime
-S_on_tick (MrLoopHost *host, MrTime now)
+S_on_tick (MrLoopHandler *host, MrTime now)
 {
   (void) host;
   return now + 10 * MR_MS;
 }
 
 static gboolean
-S_done (void *user, const MrHttpAnswer *answer)
+S_done (void *user, const MrHttpResponse *answer)
 {
   Exchange *exchange = user;
   exchange->done = TRUE;
@@ -68,7 +68,7 @@
     .port = port,
     .path = path,
     .body = body,
-    .done = S_done,
+    .on_response = S_done,
     .user = &exchange,
   };
   MrTime give_up_at = mr_now () + options->timeout_ms * MR_MS;
@@ -79,15 +79,15 @@
   if (call && !exchange.done)
     {
       mr_http_client_abort (call);
-      exchange.outcome = MR_HTTP_BROKEN;
+      exchange.outcome = MR_HTTP_CONNECTION_LOST;
     }
   mr_loop_free (loop);
   mr_http_client_free (client);
   *status = exchange.status;
-  if (!started || exchange.outcome == MR_HTTP_REFUSED)
-    return mr_fail (MR_ERROR_UNAVAIL, "%s can't be reached", address);
-  if (exchange.outcome == MR_HTTP_BROKEN)
-    return mr_fail (MR_ERROR_UNSURE, "%s gave no whole answer", address);
+  if (!started || exchange.outcome == MR_HTTP_CONNECT_FAILED)
+    return mr_fail (MR_ERROR_UNAVAILABLE, "%s can't be reached", address);
+  if (exchange.outcome == MR_HTTP_CONNECTION_LOST)
+    return mr_fail (MR_ERROR_OUTCOME_UNKNOWN, "%s gave no whole answer", address);
   return MR_OK;
 }
 
--- a/src/ctl_request.c
+++ b/src/ctl_request.c
@@ -89,8 +89,8 @@
   MrStatus sent = ctl_http (options, options->entry, method, path->str, body, &status, answer);
   json_t *root = NULL;
   if (sent != MR_OK)
-    *failure =
-        ctl_fail (sent == MR_ERROR_UNSURE ? CTL_UNKNOWN : CTL_FAILED, "%s", mr_status_message ());
+    *failure = ctl_fail (sent == MR_ERROR_OUTCOME_UNKNOWN ? CTL_UNKNOWN : CTL_FAILED, "%s",
+                         mr_status_message ());
   else
     {
       root = json_loadb (answer->str, answer->len, 0, NULL);
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -3,10 +3,10 @@
 #include "control_task.h"
 #include "entry_task.h"
 #include "log.h"
-#include "message.h"
 #include "platform_task.h"
 #include "process.h"
 #include "target_task.h"
+#include "task_message.h"
 
 static const MrTime FAREWELL = 300 * MR_MS;
 
@@ -24,7 +24,7 @@
 S_on_stopped (void *user)
 {
   (void) user;
-  mr_process_end ();
+  mr_process_quit ();
 }
 
 static MrStatus
@@ -41,7 +41,7 @@
     return MR_ERROR_SYSTEM;
   MrEntryTaskInfo entry = {
     .settings = settings,
-    .random = d->process.random,
+    .random = d->process.random_bytes,
     .incarnation = mr_process_incarnation (&d->process),
     .seed = mr_process_seed (&d->process),
     .stopped = S_on_stopped,
@@ -107,9 +107,9 @@
                    mr_platform_task_loop (d.platform) },
         .stop = S_on_stop,
         .user = &d,
-        .farewell = FAREWELL,
+        .shutdown_delay = FAREWELL,
       };
-      mr_process_serve (&d.process, &tasks, settings);
+      mr_process_run (&d.process, &tasks, settings);
     }
   S_clear (&d);
   return status;
--- a/src/dialect.h
+++ b/src/dialect.h
@@ -12,7 +12,7 @@
   MrText host;   /* that the caller will ask for */
   MrText domain; /* failure domain of the caller, as far as it said */
   MrText region; /* and its region */
-} MrAddressQuestion;
+} MrAddressRequest;
 
 typedef struct
 {
@@ -25,9 +25,9 @@
   const char *missing_parts; /* how many shards a merged answer lacks */
 
   /* TRUE if @target asks whether this daemon is ready. */
-  gboolean (*is_ready_question) (MrText target);
+  gboolean (*is_readiness_check) (MrText target);
   /* TRUE if @target asks for addresses; texts in @question borrow from it. */
-  gboolean (*read_address_question) (MrText target, MrAddressQuestion *question);
+  gboolean (*parse_address_request) (MrText target, MrAddressRequest *question);
   /* @addresses: "ip:port"; a JSON body, new. */
-  GString *(*write_addresses) (const GPtrArray *addresses, MrTime keep);
+  GString *(*format_addresses) (const GPtrArray *addresses, MrTime keep);
 } MrDialect;
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -8,17 +8,17 @@
 
 /* Share of the remaining time that the queue may take at admission.  Less for
  * lower classes, so that they are refused before a higher class suffers. */
-static const double class_share[MR_CLASS_COUNT] = {
-  [MR_CLASS_URGENT] = 0.9,
-  [MR_CLASS_INTERACTIVE] = 0.4,
-  [MR_CLASS_BROWSING] = 0.2,
+static const double class_share[MR_TRAFFIC_CLASS_COUNT] = {
+  [MR_TRAFFIC_CLASS_URGENT] = 0.9,
+  [MR_TRAFFIC_CLASS_INTERACTIVE] = 0.4,
+  [MR_TRAFFIC_CLASS_BROWSING] = 0.2,
 };
 /* A class waits as if it had come this much later: urgent calls overtake, but a
  * lower class that has waited longer than the lag goes first (aging). */
-static const MrTime class_lag[MR_CLASS_COUNT] = {
-  [MR_CLASS_URGENT] = 0,
-  [MR_CLASS_INTERACTIVE] = 100 * MR_MS,
-  [MR_CLASS_BROWSING] = 400 * MR_MS,
+static const MrTime class_lag[MR_TRAFFIC_CLASS_COUNT] = {
+  [MR_TRAFFIC_CLASS_URGENT] = 0,
+  [MR_TRAFFIC_CLASS_INTERACTIVE] = 100 * MR_MS,
+  [MR_TRAFFIC_CLASS_BROWSING] = 400 * MR_MS,
 };
 
 static const MrRelayPolicy batch_policy = {
@@ -35,7 +35,7 @@
   .silence_timeout_min = 50 * MR_MS,
   .silence_timeout_max = 2 * MR_SECOND,
   .linger = MR_NEVER,
-  .rank_lag = class_lag,
+  .priority_delay = class_lag,
   .cross_domain_cost = 1, /* not used: an owner is chosen near its targets */
   .key_by_address = TRUE,
 };
@@ -93,11 +93,12 @@
   work->tell.owner = work;
   work->parts = g_new0 (MrRouteService, MAX (batch->shard_count, 1));
   for (guint i = 0; i < batch->shard_count; i++)
-    work->parts[i] = *mr_layout_shard_set (layout, batch->order ? MR_ALL_SHARDS : batch->shards[i]);
+    work->parts[i] =
+        *mr_layout_shard_set (layout, batch->is_order ? MR_ALL_SHARDS : batch->shards[i]);
   work->route = (MrRoute){
     .name = batch->map->service,
     .kind = MR_ROUTE_BATCH,
-    .idempotent = !batch->order,
+    .idempotent = !batch->is_order,
     .attempt_limit = MR_REPLICAS_MAX,
     .priority = batch->traffic_class,
     .time_limit = batch->deadline - now,
@@ -106,7 +107,7 @@
     .services = work->parts,
   };
   mr_layout_acquire (layout, &batch->policy);
-  mr_relay_configure_pool (d->relay, batch->map->service, batch->policy.extra_calls,
+  mr_relay_configure_pool (d->relay, batch->map->service, batch->policy.extra_call_ratio,
                            batch->policy.hedge_quantile);
   return work;
 }
@@ -139,10 +140,10 @@
   for (guint i = 0; i < batch->shard_count; i++)
     {
       const MrShard *shard = &map->shards[batch->shards[i]];
-      guint count = batch->order ? map->target_count : shard->replica_count;
+      guint count = batch->is_order ? map->target_count : shard->replica_count;
       for (guint r = 0; r < count; r++)
         {
-          guint index = batch->order ? r : shard->replicas[r];
+          guint index = batch->is_order ? r : shard->replicas[r];
           MrTargetState *target = mr_layout_target (work->layout, index);
           if (mr_target_state_usable (target) && g_hash_table_add (seen, target))
             capacity += mr_concurrency_limit_calls (&target->limit);
@@ -169,7 +170,8 @@
 static gboolean
 S_admit (const Work *work, MrTime now)
 {
-  if (mr_relay_queued_parts (work->dispatch->relay, work->batch->map->service, MR_CLASS_COUNT) == 0)
+  if (mr_relay_queued_parts (work->dispatch->relay, work->batch->map->service,
+                             MR_TRAFFIC_CLASS_COUNT) == 0)
     return TRUE; /* nobody waits: the estimate has nothing to go on */
   double left = (double) (work->batch->deadline - now);
   return S_expected_wait (work) <= left * class_share[work->batch->traffic_class];
@@ -183,7 +185,7 @@
 S_blame (const Work *work)
 {
   const MrBatch *batch = work->batch;
-  for (guint i = 0; i < batch->shard_count && !batch->order; i++)
+  for (guint i = 0; i < batch->shard_count && !batch->is_order; i++)
     if (!mr_merge_covers (work->merge, batch->shards[i]))
       return batch->map->shards[batch->shards[i]].replicas[0];
   for (guint i = 0; work->last && i < batch->map->target_count; i++)
@@ -199,12 +201,12 @@
 {
   MrDispatch *d = work->dispatch;
   MrPartial *partial = mr_partial_new (work->batch->id, kind);
-  partial->blame = S_blame (work);
-  partial->outcome = MR_ORDER_NOT_RUN;
+  partial->straggler = S_blame (work);
+  partial->order_outcome = MR_ORDER_NOT_RUN;
   if (work->order_done)
-    partial->outcome = MR_ORDER_DONE;
+    partial->order_outcome = MR_ORDER_DONE;
   else if (result && result->may_have_run)
-    partial->outcome = MR_ORDER_UNKNOWN;
+    partial->order_outcome = MR_ORDER_UNKNOWN;
   if (kind == MR_PARTIAL_REFUSED)
     {
       d->counts.refused++;
@@ -212,14 +214,14 @@
     }
   for (guint i = 0; result && i < result->sends->len; i++)
     {
-      partial->calls++;
+      partial->call_count++;
       if (g_array_index (result->sends, MrSendRecord, i).reason != MR_SEND_FIRST)
-        partial->extra++;
+        partial->extra_calls++;
     }
-  partial->reply = g_steal_pointer (&work->reply);
-  mr_merge_take (work->merge, partial);
+  partial->order_reply = g_steal_pointer (&work->reply);
+  mr_merge_move_into_partial (work->merge, partial);
   g_hash_table_remove (d->works, &partial->batch_id);
-  d->host->done (d->host, partial);
+  d->host->deliver_partial (d->host, partial);
 }
 
 static void
@@ -247,15 +249,15 @@
     }
   /* An order's batch has no other root to tell, and its home would take any
    * partial for the end of it. */
-  if (!batch->order)
+  if (!batch->is_order)
     mr_timers_set (d->timers, &work->tell, now + MR_WORKING_GAP);
   guint64 id = batch->id;
   MrRelayRequestParams request = {
     .host_request = work,
     .route = &work->route,
     .deadline = batch->deadline,
-    .fingerprint = mr_batch_content (batch->map->service, batch->order, mr_text_of (batch->query),
-                                     d->content_key),
+    .fingerprint = mr_batch_fingerprint (batch->map->service, batch->is_order,
+                                         mr_text_of (batch->payload), d->content_key),
   };
   MrActiveRequest *begun = mr_relay_submit (d->relay, now, &request);
   if (begun && g_hash_table_lookup (d->works, &id) == work)
@@ -263,7 +265,7 @@
 }
 
 void
-mr_dispatch_forget (MrDispatch *d, MrTime now, guint64 batch_id)
+mr_dispatch_abandon_batch (MrDispatch *d, MrTime now, guint64 batch_id)
 {
   Work *work = g_hash_table_lookup (d->works, &batch_id);
   if (!work)
@@ -279,7 +281,7 @@
 {
   MrDispatch *d = (MrDispatch *) host;
   const Work *work = call->host_request;
-  MrCallStart start = {
+  MrShardCall start = {
     .id = call->id,
     .target = call->target,
     .batch = work->batch,
@@ -315,12 +317,15 @@
 S_on_evidence (MrRelayHost *host, MrFingerprint content, const MrEvidence *evidence)
 {
   MrDispatchHost *owner = ((MrDispatch *) host)->host;
-  if (owner->evidence)
-    owner->evidence (owner, content, evidence);
+  if (owner->publish_evidence)
+    owner->publish_evidence (owner, content, evidence);
 }
 
 void
-mr_dispatch_evidence (MrDispatch *d, MrTime now, MrFingerprint content, const MrEvidence *evidence)
+mr_dispatch_merge_evidence (MrDispatch *d,
+                            MrTime now,
+                            MrFingerprint content,
+                            const MrEvidence *evidence)
 {
   mr_relay_merge_evidence (d->relay, now, content, evidence);
 }
@@ -333,14 +338,14 @@
 }
 
 static gboolean
-S_echo_matches (const Work *work, guint shard, const MrCallEnd *end)
+S_echo_matches (const Work *work, guint shard, const MrCallResult *end)
 {
   const MrShardMap *map = work->batch->map;
   /* An answer that was delayed, doubled or crossed belongs to another request;
    * ids are never reused in an incarnation, so equality is enough. */
   if (end->echoed_id != end->id && MR_SAFEGUARD (MR_GUARD_REPLY_ID))
     return FALSE;
-  if (work->batch->order)
+  if (work->batch->is_order)
     return TRUE;
   /* A target that moved on answers from another snapshot; merged, two versions
    * of a record could stand in one answer. */
@@ -353,7 +358,7 @@
 
 /* Takes over what a wanted call has brought; FALSE if it is not its answer. */
 static gboolean
-S_take_end (MrDispatch *d, MrTime now, const MrRelayCall *call, MrCallEnd *end)
+S_take_end (MrDispatch *d, MrTime now, const MrRelayCall *call, MrCallResult *end)
 {
   Work *work = call->host_request;
   guint shard = work->batch->shards[call->part_index];
@@ -365,12 +370,12 @@
   if (!S_echo_matches (work, shard, end))
     {
       d->counts.discarded++;
-      end->outcome = work->batch->order ? MR_CALL_BROKEN : MR_CALL_ERROR;
+      end->outcome = work->batch->is_order ? MR_CALL_BROKEN : MR_CALL_ERROR;
       mr_log (MR_LOG_WARNING, MR_EVENT_REPLY_DISCARDED,
               "answer of target %s discarded: another id, snapshot or shard", call->target->id);
       return FALSE;
     }
-  if (work->batch->order)
+  if (work->batch->is_order)
     {
       work->order_done = TRUE;
       work->reply = g_string_new_len (end->order_reply.data, (gssize) end->order_reply.len);
@@ -381,7 +386,7 @@
 }
 
 gboolean
-mr_dispatch_call_end (MrDispatch *d, MrTime now, MrCallEnd *end)
+mr_dispatch_call_end (MrDispatch *d, MrTime now, MrCallResult *end)
 {
   MrRelayCall call;
   if (!mr_relay_find_call (d->relay, end->id, &call))
@@ -409,7 +414,7 @@
 }
 
 void
-mr_dispatch_target_leaving (MrDispatch *d, MrTime now, const char *key, bool leaving)
+mr_dispatch_set_target_leaving (MrDispatch *d, MrTime now, const char *key, bool leaving)
 {
   mr_layouts_set_leaving (d->layouts, key, leaving);
   mr_relay_set_target_leaving (d->relay, now, key, leaving);
@@ -425,7 +430,7 @@
     {
       const Work *work = timer->owner;
       mr_timers_set (d->timers, timer, now + MR_WORKING_GAP);
-      d->host->done (d->host, mr_partial_new (work->batch->id, MR_PARTIAL_WORKING));
+      d->host->deliver_partial (d->host, mr_partial_new (work->batch->id, MR_PARTIAL_IN_PROGRESS));
     }
   return MIN (next, mr_timers_next_due (d->timers));
 }
@@ -483,13 +488,13 @@
 }
 
 guint
-mr_dispatch_batches (const MrDispatch *d)
+mr_dispatch_batch_count (const MrDispatch *d)
 {
   return g_hash_table_size (d->works);
 }
 
 guint
-mr_dispatch_maps (const MrDispatch *d)
+mr_dispatch_map_count (const MrDispatch *d)
 {
   return mr_layouts_count (d->layouts);
 }
--- a/src/dispatch.h
+++ b/src/dispatch.h
@@ -30,7 +30,7 @@
   const MrTargetState *target;
   const MrBatch *batch;
   guint shard;
-} MrCallStart;
+} MrShardCall;
 
 /* How a call ended. Borrowed; hits are moved out if they are used. */
 typedef struct
@@ -43,12 +43,12 @@
   MrHit *hits;
   guint hit_count;
   MrText order_reply;
-} MrCallEnd;
+} MrCallResult;
 
 /* Vtable; first member of whoever carries out the calls. */
 struct _MrDispatchHost
 {
-  void (*start_call) (MrDispatchHost *host, const MrCallStart *call);
+  void (*start_call) (MrDispatchHost *host, const MrShardCall *call);
   /* The call is not needed; its end is still to be reported. */
   void (*cancel_call) (MrDispatchHost *host, guint64 id);
   /* Probe on a new connection; result to mr_dispatch_probe_end (). */
@@ -56,10 +56,12 @@
   /* Replace the idle connections of @target. */
   void (*reconnect) (MrDispatchHost *host, const MrTargetState *target);
   /* Takes @partial; must not call back into the dispatcher. */
-  void (*done) (MrDispatchHost *host, MrPartial *partial);
+  void (*deliver_partial) (MrDispatchHost *host, MrPartial *partial);
   /* More is known of targets that ended under a content: for all other daemons.  NULL:
    * there are none. */
-  void (*evidence) (MrDispatchHost *host, MrFingerprint content, const MrEvidence *evidence);
+  void (*publish_evidence) (MrDispatchHost *host,
+                            MrFingerprint content,
+                            const MrEvidence *evidence);
 };
 
 typedef struct
@@ -89,20 +91,21 @@
 void mr_dispatch_submit (MrDispatch *dispatch, MrTime now, MrBatch *batch);
 
 /* The root no longer wants @batch_id; no partial is given. */
-void mr_dispatch_forget (MrDispatch *dispatch, MrTime now, guint64 batch_id);
+void mr_dispatch_abandon_batch (MrDispatch *dispatch, MrTime now, guint64 batch_id);
 
 /* FALSE if the answer was discarded: its connection is out of step. */
-gboolean mr_dispatch_call_end (MrDispatch *dispatch, MrTime now, MrCallEnd *end);
+gboolean mr_dispatch_call_end (MrDispatch *dispatch, MrTime now, MrCallResult *end);
 void mr_dispatch_probe_end (MrDispatch *dispatch, MrTime now, const char *key, bool answered);
 
 /* What others know of @content; NULL: it is to be forgotten. */
-void mr_dispatch_evidence (MrDispatch *dispatch,
-                           MrTime now,
-                           MrFingerprint content,
-                           const MrEvidence *evidence);
+void mr_dispatch_merge_evidence (MrDispatch *dispatch,
+                                 MrTime now,
+                                 MrFingerprint content,
+                                 const MrEvidence *evidence);
 
 /* News from the list of VMs or the shard map. */
-void mr_dispatch_target_leaving (MrDispatch *dispatch, MrTime now, const char *key, bool leaving);
+void
+mr_dispatch_set_target_leaving (MrDispatch *dispatch, MrTime now, const char *key, bool leaving);
 
 /* Failure domains whose targets get no new work, as a set of texts. */
 void mr_dispatch_set_evacuated (MrDispatch *dispatch, MrTime now, GHashTable *domains);
@@ -111,9 +114,9 @@
 MrTime mr_dispatch_tick (MrDispatch *dispatch, MrTime now);
 
 const MrDispatchCounts *mr_dispatch_counts (MrDispatch *dispatch);
-guint mr_dispatch_batches (const MrDispatch *dispatch);
+guint mr_dispatch_batch_count (const MrDispatch *dispatch);
 /* Maps whose targets are laid out in sets. */
-guint mr_dispatch_maps (const MrDispatch *dispatch);
+guint mr_dispatch_map_count (const MrDispatch *dispatch);
 void mr_dispatch_foreach_target (const MrDispatch *dispatch,
                                  void (*visit) (const MrTargetState *target, void *user),
                                  void *user);
--- a/src/document.c
+++ b/src/document.c
@@ -183,12 +183,12 @@
 S_check_clashes (const MrDocument *d)
 {
   if (d->deadline_ms > d->max_deadline_ms)
-    return S_FAIL (MR_DOCUMENT_CLASH,
+    return S_FAIL (MR_DOCUMENT_CONFLICT,
                    "key 'deadline_ms': value %" G_GINT64_FORMAT
                    " is over max_deadline_ms, %" G_GINT64_FORMAT,
                    d->deadline_ms, d->max_deadline_ms);
   if (d->top_k > d->max_top_k)
-    return S_FAIL (MR_DOCUMENT_CLASH,
+    return S_FAIL (MR_DOCUMENT_CONFLICT,
                    "key 'top_k': value %" G_GINT64_FORMAT " is over max_top_k, %" G_GINT64_FORMAT,
                    d->top_k, d->max_top_k);
   return MR_OK;
--- a/src/document.h
+++ b/src/document.h
@@ -27,7 +27,7 @@
   MR_DOCUMENT_OUT_OF_RANGE = 507,
   MR_DOCUMENT_MISSING_KEY = 508,
   MR_DOCUMENT_WRONG_NAME = 509,
-  MR_DOCUMENT_CLASH = 510, /* two keys contradict each other */
+  MR_DOCUMENT_CONFLICT = 510, /* two keys contradict each other */
 } MrDocumentError;
 
 typedef struct
--- a/src/entry_context.c
+++ b/src/entry_context.c
@@ -1,7 +1,7 @@
 #include "entry_context.h"
 
-#include "message.h"
 #include "metrics.h"
+#include "task_message.h"
 
 void
 mr_json_append_string (GString *out, MrText text)
@@ -37,7 +37,7 @@
   g_string_append (body, "}\n");
   MrHttpReply reply = {
     .status = mr_result_http_status (result),
-    .retry_after = (guint) ((retry_after_ms + 999) / 1000),
+    .retry_after_seconds = (guint) ((retry_after_ms + 999) / 1000),
     .body = mr_text_of (body),
   };
   mr_http_server_reply (context->server, http_id, &reply);
@@ -49,14 +49,14 @@
 }
 
 void
-mr_entry_submit (MrEntryContext *context, MrBatch *batch)
+mr_entry_submit_batch (MrEntryContext *context, MrBatch *batch)
 {
   MrOrigin origin = { .incarnation = context->incarnation, .batch_id = batch->id };
-  mr_mailbox_post (context->targets, &mr_submit_message_new (batch, &origin)->base);
+  mr_mailbox_post (context->target_mailbox, &mr_submit_message_new (batch, &origin)->base);
 }
 
 void
-mr_entry_send (MrEntryContext *context, const char *name, GString *bytes)
+mr_entry_send_to_member (MrEntryContext *context, const char *name, GString *bytes)
 {
-  mr_mailbox_post (context->control, &mr_send_message_new (name, bytes)->base);
+  mr_mailbox_post (context->control_mailbox, &mr_peer_send_message_new (name, bytes)->base);
 }
--- a/src/entry_context.h
+++ b/src/entry_context.h
@@ -17,16 +17,16 @@
   const MrSettings *settings;
   guint64 incarnation;
   MrHttpServer *server;
-  MrMailbox *targets;
-  MrMailbox *control;
+  MrMailbox *target_mailbox;
+  MrMailbox *control_mailbox;
   MrView *view; /* newest; NULL until the first */
   MrBurn *burn;
   MrQuarantine *quarantine;
   guint64 content_key; /* of fingerprints */
-  MrHistogram latency[MR_CLASS_COUNT];
-  guint64 last_batch;
-  guint refused_now; /* for overload, since the last look */
-  guint served_now;
+  MrHistogram latency[MR_TRAFFIC_CLASS_COUNT];
+  guint64 last_batch_id;
+  guint window_refused; /* for overload, since the last look */
+  guint window_served;
 } MrEntryContext;
 
 /* A caller's request as the filter chain leaves it. */
@@ -34,9 +34,9 @@
 {
   guint64 http_id;
   const MrServiceView *service;
-  MrTime received;
+  MrTime received_at;
   MrTime deadline;
-  MrClass traffic_class;
+  MrTrafficClass traffic_class;
   const char *request_id; /* the caller's own; may be "" */
 } MrEntryRequest;
 
@@ -48,10 +48,10 @@
                       const char *message);
 
 /* Posts @batch to the target task, as this daemon's own. */
-void mr_entry_submit (MrEntryContext *context, MrBatch *batch);
+void mr_entry_submit_batch (MrEntryContext *context, MrBatch *batch);
 
 /* Sends @bytes, which it takes, to the member @name. */
-void mr_entry_send (MrEntryContext *context, const char *name, GString *bytes);
+void mr_entry_send_to_member (MrEntryContext *context, const char *name, GString *bytes);
 
 /* Appends @text as a JSON string, quotes included. */
 void mr_json_append_string (GString *out, MrText text);
--- a/src/entry_plan.c
+++ b/src/entry_plan.c
@@ -45,7 +45,7 @@
       for (guint i = 0; i < row->len; i++)
         {
           const MrMember *member = g_ptr_array_index (row, i);
-          guint least = member->capacity * SMALLER < best ? MR_ENTRIES_FEW : MR_ENTRIES_MIN;
+          guint least = member->capacity * SMALLER < best ? MR_ENTRIES_MIN_REDUCED : MR_ENTRIES_MIN;
           if (plan->entries->len == MR_ENTRIES_MAX ||
               (plan->entries->len >= least && capacity * LOAD_SHARE >= load))
             return;
@@ -68,14 +68,14 @@
 }
 
 MrTime
-mr_entry_keep (guint domain_losses, MrTime most)
+mr_entry_address_ttl (guint domain_losses, MrTime most)
 {
   MrTime keep = domain_losses > 0 ? KEEP_DOMAIN_LOSS : KEEP;
   return most > 0 ? MIN (keep, most) : keep;
 }
 
 MrEntryPlan
-mr_entry_plan (const MrRoster *roster, const char *self)
+mr_entry_plan_compute (const MrRoster *roster, const char *self)
 {
   MrEntryPlan plan = { .entries = g_ptr_array_new () };
   /* A member that misses heartbeats may be gone; one that is cut off costs a
@@ -95,9 +95,10 @@
   guint others = usable > entries ? usable - entries : 0;
   double kept = others > 0 ? OTHERS_CONNECTIONS : 0;
   double allowance = others > 0 ? OTHERS_ALLOWANCE : 0;
-  plan.slots = plan.is_entry || others == 0 ? (1 - kept) / entries : kept / others;
-  plan.connections = plan.slots / OVERLAP;
-  plan.allowance = plan.is_entry || others == 0 ? (1 - allowance) / entries : allowance / others;
+  plan.slot_share = plan.is_entry || others == 0 ? (1 - kept) / entries : kept / others;
+  plan.connection_share = plan.slot_share / OVERLAP;
+  plan.allowance_share =
+      plan.is_entry || others == 0 ? (1 - allowance) / entries : allowance / others;
   return plan;
 }
 
@@ -109,12 +110,12 @@
 }
 
 GPtrArray *
-mr_entry_plan_in (const MrEntryPlan *plan, const MrRoster *roster, GHashTable *regions)
+mr_entry_plan_for_regions (const MrEntryPlan *plan, const MrRoster *roster, GHashTable *regions)
 {
   GPtrArray *list = g_ptr_array_new ();
   for (guint i = 0; i < plan->entries->len; i++)
     S_add_in (list, g_ptr_array_index (plan->entries, i), regions);
-  for (guint i = 0; list->len < MR_ENTRIES_FEW && i < mr_roster_count (roster); i++)
+  for (guint i = 0; list->len < MR_ENTRIES_MIN_REDUCED && i < mr_roster_count (roster); i++)
     {
       const MrMember *member = mr_roster_at (roster, i);
       if (member->state == MR_MEMBER_ALIVE && !member->busy &&
--- a/src/entry_plan.h
+++ b/src/entry_plan.h
@@ -21,17 +21,17 @@
    * shards takes 3 ms of a core, which is 25 ms of a VM with an eighth of one: with
    * 3 large VMs and 27 small ones, six entries earned 0.92 of a calm day's worth
    * and 0.63 to 0.88 of hard ones, the three large alone 0.98 and 0.79 to 0.95. */
-  MR_ENTRIES_FEW = 3,
+  MR_ENTRIES_MIN_REDUCED = 3,
   MR_ENTRIES_MAX = 64, /* in one answer */
 };
 
 typedef struct
 {
-  GPtrArray *entries; /* MrMember, borrowed from the roster; best first */
-  gboolean is_entry;  /* this daemon is one of them */
-  double connections; /* this daemon's share of a target's connections, 0 to 1 */
-  double slots;       /* and of its slots, 0 to 1 */
-  double allowance;   /* and of the fleet's allowance of hedges and retries, 0 to 1 */
+  GPtrArray *entries;      /* MrMember, borrowed from the roster; best first */
+  gboolean is_entry;       /* this daemon is one of them */
+  double connection_share; /* this daemon's share of a target's connections, 0 to 1 */
+  double slot_share;       /* and of its slots, 0 to 1 */
+  double allowance_share;  /* and of the fleet's allowance of hedges and retries, 0 to 1 */
 } MrEntryPlan;
 
 /* For how long callers may keep an address answer, at most @most (0: not bounded).  Some keep
@@ -39,13 +39,14 @@
  * the time that a planned stop has.  Where @domain_losses failure domains may be lost at once
  * they keep it for longer: all daemons near a caller fall silent at one moment then, and whoever
  * has to ask meanwhile waits for each of them in turn. */
-MrTime mr_entry_keep (guint domain_losses, MrTime most);
+MrTime mr_entry_address_ttl (guint domain_losses, MrTime most);
 
 /* Holds until a member of @roster changes. */
-MrEntryPlan mr_entry_plan (const MrRoster *roster, const char *self);
+MrEntryPlan mr_entry_plan_compute (const MrRoster *roster, const char *self);
 /* Those that callers are told of where only the regions of the set @regions will do: entries
  * of the plan, or others if too few are there, or all entries if nobody is.  New, of borrowed
  * MrMember. */
-GPtrArray *mr_entry_plan_in (const MrEntryPlan *plan, const MrRoster *roster, GHashTable *regions);
+GPtrArray *
+mr_entry_plan_for_regions (const MrEntryPlan *plan, const MrRoster *roster, GHashTable *regions);
 
 void mr_entry_plan_clear (MrEntryPlan *plan);
--- a/src/entry_task.c
+++ b/src/entry_task.c
@@ -2,12 +2,12 @@
 
 #include "entry_context.h"
 #include "log.h"
-#include "message.h"
 #include "metrics.h"
 #include "operator_pages.h"
-#include "order_flow.h"
+#include "order_handler.h"
 #include "safeguard.h"
 #include "searches.h"
+#include "task_message.h"
 
 enum
 {
@@ -40,12 +40,12 @@
 
 struct _MrEntryTask
 {
-  MrLoopHost loop_host;
-  MrHttpHost http_host;
+  MrLoopHandler loop_host;
+  MrHttpHandler http_host;
   MrEntryContext context;
   MrLoop *loop;
   MrSearches *searches;
-  MrOrderFlow *orders;
+  MrOrderHandler *orders;
   GRand *random;
   Stage stage;
   MrTime leave_at;     /* end of the keep time */
@@ -62,7 +62,7 @@
 static void
 S_reply_text (MrEntryTask *task, guint64 id, const char *type, GString *text)
 {
-  MrHttpReply reply = { .status = 200, .type = type, .body = mr_text_of (text) };
+  MrHttpReply reply = { .status = 200, .content_type = type, .body = mr_text_of (text) };
   mr_http_server_reply (task->context.server, id, &reply);
   g_string_free (text, TRUE);
 }
@@ -120,9 +120,10 @@
 static gboolean
 S_number_arg (Chain *chain, const char *name, gint64 fallback, gint64 most, gint64 *out)
 {
-  const char *text = mr_http_arg (chain->http, name, NULL);
+  const char *text = mr_http_query_arg (chain->http, name, NULL);
   guint64 number = (guint64) fallback;
-  if (text && (!mr_text_to_u64 (mr_text (text), &number) || number < 1 || number > (guint64) most))
+  if (text &&
+      (!mr_text_parse_u64 (mr_text (text), &number) || number < 1 || number > (guint64) most))
     return S_refuse (chain, MR_RESULT_BAD_REQUEST, 0,
                      "argument '%s': value '%.40s', expected a whole number "
                      "from 1 to %" G_GINT64_FORMAT,
@@ -141,16 +142,16 @@
   gint64 deadline_ms = 0;
   if (!S_number_arg (chain, "deadline_ms", fallback, most, &deadline_ms))
     return FALSE;
-  chain->request.deadline = chain->request.received + deadline_ms * MR_MS;
+  chain->request.deadline = chain->request.received_at + deadline_ms * MR_MS;
   return TRUE;
 }
 
 static gboolean
 S_filter_class (Chain *chain)
 {
-  const char *name = mr_http_arg (chain->http, "class", "interactive");
-  chain->request.traffic_class = mr_class_from_name (mr_text (name));
-  if (chain->request.traffic_class == MR_CLASS_COUNT)
+  const char *name = mr_http_query_arg (chain->http, "class", "interactive");
+  chain->request.traffic_class = mr_traffic_class_from_name (mr_text (name));
+  if (chain->request.traffic_class == MR_TRAFFIC_CLASS_COUNT)
     return S_refuse (chain, MR_RESULT_BAD_REQUEST, 0,
                      "argument 'class': value '%.40s', expected urgent, "
                      "interactive or browsing",
@@ -161,7 +162,7 @@
 static gboolean
 S_filter_request_id (Chain *chain)
 {
-  chain->request.request_id = mr_http_arg (chain->http, "request_id", "");
+  chain->request.request_id = mr_http_query_arg (chain->http, "request_id", "");
   if (strlen (chain->request.request_id) > REQUEST_ID_MAX ||
       !g_utf8_validate (chain->request.request_id, -1, NULL))
     return S_refuse (chain, MR_RESULT_BAD_REQUEST, 0,
@@ -174,9 +175,9 @@
 {
   MrEntryTask *task = chain->task;
   guint most = (guint) task->context.settings->max_requests;
-  if (mr_http_server_pending (task->context.server) <= most)
+  if (mr_http_server_pending_count (task->context.server) <= most)
     return TRUE;
-  task->context.refused_now++;
+  task->context.window_refused++;
   return S_refuse (chain, MR_RESULT_OVERLOADED, 100, "this daemon serves %u requests already",
                    most);
 }
@@ -211,7 +212,7 @@
 {
   const MrEntryContext *context = &chain->task->context;
   MrFingerprint fingerprint =
-      mr_batch_content (chain->service_name, FALSE, content, context->content_key);
+      mr_batch_fingerprint (chain->service_name, FALSE, content, context->content_key);
   MrEvidence evidence = mr_quarantine_get (context->quarantine, fingerprint);
   if (mr_evidence_standing (&evidence, mr_unix_time ()) != MR_STANDING_QUARANTINED ||
       mr_evidence_is_probation_due (&evidence, mr_unix_time ()))
@@ -227,7 +228,7 @@
 S_search (Chain *chain)
 {
   const MrDocument *document = &chain->request.service->document;
-  const char *text = mr_http_arg (chain->http, "q", NULL);
+  const char *text = mr_http_query_arg (chain->http, "q", NULL);
   gint64 top_k = 0;
   if (!text || text[0] == '\0' || strlen (text) > QUERY_MAX || !g_utf8_validate (text, -1, NULL))
     {
@@ -243,11 +244,12 @@
 static void
 S_order (Chain *chain)
 {
-  const char *ticket = mr_http_arg (chain->http, "ticket", "");
+  const char *ticket = mr_http_query_arg (chain->http, "ticket", "");
   if (chain->http->body.len == 0)
     S_refuse (chain, MR_RESULT_BAD_REQUEST, 0, "the order's body is missing");
   else
-    mr_order_flow_begin (chain->task->orders, &chain->request, mr_text (ticket), chain->http->body);
+    mr_order_handler_begin (chain->task->orders, &chain->request, mr_text (ticket),
+                            chain->http->body);
 }
 
 static void
@@ -256,7 +258,7 @@
   if (!chain->request.service->document.orders)
     S_refuse (chain, MR_RESULT_NO_SERVICE, 0, "service '%s' takes no orders", chain->service_name);
   else
-    mr_order_flow_issue (chain->task->orders, chain->http->id);
+    mr_order_handler_issue_ticket (chain->task->orders, chain->http->id);
 }
 
 static const struct
@@ -278,9 +280,9 @@
     .task = task,
     .http = request,
     .service_name = parts[3],
-    .request = { .http_id = request->id, .received = mr_now () },
+    .request = { .http_id = request->id, .received_at = mr_now () },
   };
-  task->requested_at = chain.request.received;
+  task->requested_at = chain.request.received_at;
   for (size_t i = 0; i < G_N_ELEMENTS (service_routes); i++)
     {
       if (!g_str_equal (service_routes[i].action, parts[4]))
@@ -304,7 +306,7 @@
   if (S_filter_ready (&chain) &&
       S_number_arg (&chain, "count", ADDRESSES_DEFAULT, ADDRESSES_MAX, &count))
     S_reply_text (task, request->id, NULL,
-                  mr_page_addresses (&task->context, mr_http_arg (request, "domain", NULL),
+                  mr_page_addresses (&task->context, mr_http_query_arg (request, "domain", NULL),
                                      (guint) count, task->random));
 }
 
@@ -313,7 +315,7 @@
 {
   MrOperatorCounts counts = {
     .searches = mr_searches_count (task->searches),
-    .orders = mr_order_flow_count (task->orders),
+    .orders = mr_order_handler_pending_count (task->orders),
     .leaving = task->stage != STAGE_SERVING,
   };
   S_reply_text (task, request->id, NULL, mr_page_status (&task->context, &counts));
@@ -340,7 +342,7 @@
 static void
 S_page_targets (MrEntryTask *task, const MrHttpRequest *request)
 {
-  mr_mailbox_post (task->context.targets, &mr_report_message_new (request->id, NULL)->base);
+  mr_mailbox_post (task->context.target_mailbox, &mr_report_message_new (request->id, NULL)->base);
 }
 
 static void
@@ -363,7 +365,7 @@
 };
 
 static void
-S_on_request (MrHttpHost *host, const MrHttpRequest *request)
+S_on_request (MrHttpHandler *host, const MrHttpRequest *request)
 {
   MrEntryTask *task = TASK_OF_HTTP_HOST (host);
   for (size_t i = 0; i < G_N_ELEMENTS (pages); i++)
@@ -381,9 +383,9 @@
 }
 
 static void
-S_on_gone (MrHttpHost *host, guint64 id)
+S_on_gone (MrHttpHandler *host, guint64 id)
 {
-  mr_searches_drop (TASK_OF_HTTP_HOST (host)->searches, id);
+  mr_searches_cancel (TASK_OF_HTTP_HOST (host)->searches, id);
 }
 
 /* The task itself. */
@@ -391,7 +393,8 @@
 static void
 S_tell_self (MrEntryTask *task, MrMemberState state)
 {
-  mr_mailbox_post (task->context.control, &mr_self_message_new (state, task->busy)->base);
+  mr_mailbox_post (task->context.control_mailbox,
+                   &mr_local_state_message_new (state, task->busy)->base);
 }
 
 static void
@@ -412,9 +415,9 @@
 S_on_partial (MrEntryTask *task, MrPartialMessage *message)
 {
   MrPartial *partial = g_steal_pointer (&message->partial);
-  if (mr_searches_add (task->searches, partial, message->from))
+  if (mr_searches_add_partial (task->searches, partial, message->from))
     return;
-  if (!mr_order_flow_add (task->orders, partial))
+  if (!mr_order_handler_on_partial (task->orders, partial))
     mr_partial_free (partial);
 }
 
@@ -430,7 +433,7 @@
 }
 
 static void
-S_on_message (MrLoopHost *host, MrMessage *message)
+S_on_message (MrLoopHandler *host, MrMessage *message)
 {
   MrEntryTask *task = (MrEntryTask *) host;
   switch (message->type)
@@ -443,13 +446,13 @@
       S_on_partial (task, (MrPartialMessage *) message);
       break;
     case MR_MESSAGE_ORDER:
-      mr_order_flow_remote (task->orders, (MrOrderMessage *) message);
+      mr_order_handler_on_forwarded (task->orders, (MrOrderMessage *) message);
       break;
     case MR_MESSAGE_ORDER_RESULT:
-      mr_order_flow_result (task->orders, (MrOrderResultMessage *) message);
+      mr_order_handler_on_result (task->orders, (MrOrderResultMessage *) message);
       break;
     case MR_MESSAGE_REPORT:
-      S_reply_text (task, ((MrReportMessage *) message)->request, NULL,
+      S_reply_text (task, ((MrReportMessage *) message)->request_id, NULL,
                     g_steal_pointer (&((MrReportMessage *) message)->text));
       break;
     case MR_MESSAGE_EVIDENCE:
@@ -473,8 +476,9 @@
     return TRUE;
   gboolean quiet = now - task->requested_at > QUIET || now > task->leave_at + LEAVE_MAX;
   return now >= task->leave_at && quiet && mr_searches_count (task->searches) == 0 &&
-         mr_order_flow_count (task->orders) == 0 &&
-         mr_http_server_pending (task->context.server) == 0 && mr_metrics_open_batches () == 0;
+         mr_order_handler_pending_count (task->orders) == 0 &&
+         mr_http_server_pending_count (task->context.server) == 0 &&
+         mr_metrics_open_batches () == 0;
 }
 
 /* Marks this daemon busy while it refuses much, so that callers are handed
@@ -485,10 +489,10 @@
   if (now < task->look_at)
     return;
   task->look_at = now + LOOK_GAP;
-  guint refused = task->context.refused_now;
-  guint total = refused + task->context.served_now;
-  task->context.refused_now = 0;
-  task->context.served_now = 0;
+  guint refused = task->context.window_refused;
+  guint total = refused + task->context.window_served;
+  task->context.window_refused = 0;
+  task->context.window_served = 0;
   guint percent = total > 0 ? refused * 100 / total : 0;
   gboolean busy = task->busy ? percent > CALM_PERCENT : percent > BUSY_PERCENT;
   if (busy == task->busy || task->stage != STAGE_SERVING)
@@ -498,11 +502,11 @@
 }
 
 static MrTime
-S_on_tick (MrLoopHost *host, MrTime now)
+S_on_tick (MrLoopHandler *host, MrTime now)
 {
   MrEntryTask *task = (MrEntryTask *) host;
   MrTime next = mr_searches_tick (task->searches, now);
-  next = MIN (next, mr_order_flow_tick (task->orders, now));
+  next = MIN (next, mr_order_handler_tick (task->orders, now));
   S_look (task, now);
   if (task->stage == STAGE_LEAVING)
     {
@@ -521,8 +525,8 @@
 mr_entry_task_new (const MrEntryTaskInfo *info)
 {
   MrEntryTask *task = g_new0 (MrEntryTask, 1);
-  task->loop_host = (MrLoopHost){ .on_message = S_on_message, .on_tick = S_on_tick };
-  task->http_host = (MrHttpHost){ .on_request = S_on_request, .on_gone = S_on_gone };
+  task->loop_host = (MrLoopHandler){ .on_message = S_on_message, .on_tick = S_on_tick };
+  task->http_host = (MrHttpHandler){ .on_request = S_on_request, .on_disconnect = S_on_gone };
   task->context.settings = info->settings;
   task->context.incarnation = info->incarnation;
   task->context.burn = mr_burn_new (mr_now ());
@@ -532,7 +536,7 @@
   task->stopped = info->stopped;
   task->user = info->user;
   task->searches = mr_searches_new (&task->context);
-  task->orders = mr_order_flow_new (&task->context, info->random);
+  task->orders = mr_order_handler_new (&task->context, info->random);
   task->loop = mr_loop_new (&task->loop_host, (guint) info->settings->max_requests * 2);
   if (task->loop)
     task->context.server = mr_http_server_new (task->loop, &task->http_host, info->settings->ip,
@@ -548,8 +552,8 @@
 void
 mr_entry_task_connect (MrEntryTask *task, MrMailbox *targets, MrMailbox *control)
 {
-  task->context.targets = targets;
-  task->context.control = control;
+  task->context.target_mailbox = targets;
+  task->context.control_mailbox = control;
 }
 
 void
@@ -560,7 +564,7 @@
   mr_loop_free (task->loop);
   mr_http_server_free (task->context.server);
   mr_searches_free (task->searches);
-  mr_order_flow_free (task->orders);
+  mr_order_handler_free (task->orders);
   mr_view_unref (task->context.view);
   mr_burn_free (task->context.burn);
   mr_quarantine_free (task->context.quarantine);
@@ -577,5 +581,5 @@
 const char *
 mr_entry_task_incarnation (const MrEntryTask *task)
 {
-  return mr_order_flow_incarnation (task->orders);
+  return mr_order_handler_incarnation (task->orders);
 }
--- a/src/http_client.c
+++ b/src/http_client.c
@@ -33,7 +33,7 @@
   MrHttpClient *client;
   char *key; /* as of Idle */
   struct lws *wsi;
-  MrHttpDone done;
+  MrHttpResponseFunc done;
   void *user;
   GString *out; /* request body, NULL if none */
   GString *in;
@@ -93,7 +93,7 @@
   call->finished = TRUE;
   if (!call->done)
     return FALSE; /* still inside mr_http_client_call (), which frees it */
-  MrHttpAnswer answer = {
+  MrHttpResponse answer = {
     .outcome = outcome,
     .status = call->status,
     .body = mr_text_of (call->in),
@@ -191,10 +191,10 @@
     case LWS_CALLBACK_COMPLETED_CLIENT_HTTP:
       return S_finish (call, MR_HTTP_OK) ? 0 : -1;
     case LWS_CALLBACK_CLIENT_CONNECTION_ERROR:
-      S_finish (call, call->connected ? MR_HTTP_BROKEN : MR_HTTP_REFUSED);
+      S_finish (call, call->connected ? MR_HTTP_CONNECTION_LOST : MR_HTTP_CONNECT_FAILED);
       return 0;
     case LWS_CALLBACK_CLOSED_CLIENT_HTTP:
-      S_finish (call, MR_HTTP_BROKEN);
+      S_finish (call, MR_HTTP_CONNECTION_LOST);
       return 0;
     default:
       return lws_callback_http_dummy (wsi, reason, user, in, len);
@@ -261,14 +261,14 @@
 {
   if (maybe_sent)
     *maybe_sent = FALSE;
-  g_return_val_if_fail (info->lane < client->lanes, NULL);
-  struct lws_vhost *vhost = S_lane (client, info->lane);
+  g_return_val_if_fail (info->connection_slot < client->lanes, NULL);
+  struct lws_vhost *vhost = S_lane (client, info->connection_slot);
   if (!vhost)
     return NULL;
   MrHttpCall *call = g_new0 (MrHttpCall, 1);
   call->tag = TAG_CALL;
   call->client = client;
-  call->key = S_key (info->ip, info->port, info->lane);
+  call->key = S_key (info->ip, info->port, info->connection_slot);
   call->in = g_string_new (NULL);
   if (info->body.len > 0)
     call->out = g_string_new_len (info->body.data, (gssize) info->body.len);
@@ -284,7 +284,7 @@
     .method = info->method,
     .protocol = "client",
     .local_protocol_name = "client",
-    .ssl_connection = info->fresh ? 0 : LCCSCF_PIPELINE,
+    .ssl_connection = info->new_connection ? 0 : LCCSCF_PIPELINE,
     .vhost = vhost,
     .pwsi = &call->wsi,
     .opaque_user_data = call,
@@ -299,7 +299,7 @@
       S_call_free (call);
       return NULL;
     }
-  call->done = info->done;
+  call->done = info->on_response;
   call->user = info->user;
   return call;
 }
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -14,9 +14,9 @@
 
 typedef enum
 {
-  MR_HTTP_OK,      /* status and body are whole */
-  MR_HTTP_REFUSED, /* no connection: nothing was sent */
-  MR_HTTP_BROKEN,  /* the connection ended before a whole answer */
+  MR_HTTP_OK,              /* status and body are whole */
+  MR_HTTP_CONNECT_FAILED,  /* no connection: nothing was sent */
+  MR_HTTP_CONNECTION_LOST, /* the connection ended before a whole answer */
 } MrHttpOutcome;
 
 typedef struct
@@ -24,21 +24,21 @@
   MrHttpOutcome outcome;
   int status;
   MrText body;
-} MrHttpAnswer;
+} MrHttpResponse;
 
 /* Returns FALSE to have the connection closed and not used again. */
-typedef gboolean (*MrHttpDone) (void *user, const MrHttpAnswer *answer);
+typedef gboolean (*MrHttpResponseFunc) (void *user, const MrHttpResponse *answer);
 
 typedef struct
 {
   const char *method; /* "GET", "POST", "PUT" or "DELETE" */
   const char *ip;
   int port;
-  guint lane;
-  gboolean fresh;   /* on a connection of its own, closed afterwards */
-  const char *path; /* encoded, with the query string */
+  guint connection_slot;
+  gboolean new_connection; /* on a connection of its own, closed afterwards */
+  const char *path;        /* encoded, with the query string */
   MrText body;
-  MrHttpDone done; /* called once, never from within mr_http_client_call () */
+  MrHttpResponseFunc on_response; /* called once, never from within mr_http_client_call () */
   void *user;
 } MrHttpCallInfo;
 
--- a/src/http_message.c
+++ b/src/http_message.c
@@ -32,7 +32,7 @@
 };
 
 gboolean
-mr_text_equal_fold (MrText a, const char *b)
+mr_text_equal_nocase (MrText a, const char *b)
 {
   return a.len == strlen (b) && g_ascii_strncasecmp (a.data, b, a.len) == 0;
 }
@@ -86,9 +86,9 @@
 S_on_body (http_parser *parser, const char *at, size_t len)
 {
   MrHttpParser *p = parser->data;
-  if (p->limits.body > 0 && p->body->len + len > p->limits.body)
+  if (p->limits.max_body_bytes > 0 && p->body->len + len > p->limits.max_body_bytes)
     {
-      p->state = MR_HTTP_BODY_BIG;
+      p->state = MR_HTTP_BODY_TOO_LARGE;
       return 1;
     }
   g_string_append_len (p->body, at, (gssize) len);
@@ -225,20 +225,20 @@
 {
   guint lengths = 0;
   guint codings = 0;
-  MrText length = mr_http_parser_find (p, "Content-Length", &lengths);
-  MrText coding = mr_http_parser_find (p, "Transfer-Encoding", &codings);
+  MrText length = mr_http_parser_find_field (p, "Content-Length", &lengths);
+  MrText coding = mr_http_parser_find_field (p, "Transfer-Encoding", &codings);
   if (!S_names_are_plain (p) || lengths > 1 || codings > 1 || (lengths > 0 && codings > 0))
     return FALSE;
   if (lengths == 1 && !S_all_digits (length))
     return FALSE;
-  return codings == 0 || mr_text_equal_fold (coding, "chunked");
+  return codings == 0 || mr_text_equal_nocase (coding, "chunked");
 }
 
 static gboolean
 S_request_is_plain (const MrHttpParser *p)
 {
   guint hosts = 0;
-  mr_http_parser_find (p, "Host", &hosts);
+  mr_http_parser_find_field (p, "Host", &hosts);
   MrText target = mr_http_parser_target (p);
   return hosts == 1 && target.len > 0 && target.data[0] == '/' && p->parser.method != HTTP_CONNECT;
 }
@@ -250,7 +250,7 @@
   p->state = MR_HTTP_HEAD;
   if (S_has_folded_line (p->head))
     {
-      p->state = MR_HTTP_BAD;
+      p->state = MR_HTTP_MALFORMED;
       return;
     }
   gsize used = http_parser_execute (&p->parser, &callbacks, p->head->str, p->head->len);
@@ -258,12 +258,12 @@
   if ((error != HPE_OK && error != HPE_PAUSED) || used < p->head->len - 1 ||
       !S_framing_is_plain (p) || (p->kind == MR_HTTP_REQUEST && !S_request_is_plain (p)))
     {
-      p->state = MR_HTTP_BAD;
+      p->state = MR_HTTP_MALFORMED;
       return;
     }
-  if (p->limits.body > 0 && p->parser.content_length != G_MAXUINT64 &&
-      p->parser.content_length > p->limits.body)
-    p->state = MR_HTTP_BODY_BIG;
+  if (p->limits.max_body_bytes > 0 && p->parser.content_length != G_MAXUINT64 &&
+      p->parser.content_length > p->limits.max_body_bytes)
+    p->state = MR_HTTP_BODY_TOO_LARGE;
   else if (p->state == MR_HTTP_HEAD)
     p->state = MR_HTTP_BODY;
 }
@@ -280,12 +280,12 @@
 {
   gsize taken = 0;
   gboolean whole = FALSE;
-  gsize most = p->limits.head > 0 ? p->limits.head : HEAD_MAX;
+  gsize most = p->limits.max_head_bytes > 0 ? p->limits.max_head_bytes : HEAD_MAX;
   p->state = MR_HTTP_HEAD;
   if (!S_take_head (p, bytes, &taken, &whole))
-    p->state = MR_HTTP_BAD;
+    p->state = MR_HTTP_MALFORMED;
   else if (p->head->len > most)
-    p->state = MR_HTTP_HEAD_BIG;
+    p->state = MR_HTTP_HEAD_TOO_LARGE;
   else if (whole)
     S_parse_head (p);
   else if (p->head->len == 0)
@@ -305,7 +305,7 @@
   gsize used = http_parser_execute (&p->parser, &callbacks, bytes.data, bytes.len);
   enum http_errno error = HTTP_PARSER_ERRNO (&p->parser);
   if (p->state == MR_HTTP_BODY && error != HPE_OK)
-    p->state = MR_HTTP_BAD;
+    p->state = MR_HTTP_MALFORMED;
   return used;
 }
 
@@ -376,14 +376,14 @@
 }
 
 MrText
-mr_http_parser_find (const MrHttpParser *p, const char *name, guint *count)
+mr_http_parser_find_field (const MrHttpParser *p, const char *name, guint *count)
 {
   MrText first = { 0 };
   guint found = 0;
   for (guint i = 0; i < p->fields->len; i++)
     {
       MrHttpField field = mr_http_parser_field (p, i);
-      if (!mr_text_equal_fold (field.name, name))
+      if (!mr_text_equal_nocase (field.name, name))
         continue;
       if (found++ == 0)
         first = field.value;
@@ -400,9 +400,9 @@
 }
 
 gboolean
-mr_http_parser_waits_for_continue (const MrHttpParser *p)
+mr_http_parser_expects_continue (const MrHttpParser *p)
 {
-  return mr_text_equal_fold (mr_http_parser_find (p, "Expect", NULL), "100-continue");
+  return mr_text_equal_nocase (mr_http_parser_find_field (p, "Expect", NULL), "100-continue");
 }
 
 static gboolean
@@ -420,7 +420,7 @@
 }
 
 gboolean
-mr_http_parser_is_hop_field (const MrHttpParser *p, MrText name)
+mr_http_parser_is_hop_by_hop (const MrHttpParser *p, MrText name)
 {
   static const char *const names[] = {
     "Connection",
@@ -436,11 +436,11 @@
     "Proxy-Authorization",
   };
   for (gsize i = 0; i < G_N_ELEMENTS (names); i++)
-    if (mr_text_equal_fold (name, names[i]))
+    if (mr_text_equal_nocase (name, names[i]))
       return TRUE;
-  MrText connection = mr_http_parser_find (p, "Connection", NULL);
-  if (connection.len == 0 || mr_text_equal_fold (connection, "keep-alive") ||
-      mr_text_equal_fold (connection, "close"))
+  MrText connection = mr_http_parser_find_field (p, "Connection", NULL);
+  if (connection.len == 0 || mr_text_equal_nocase (connection, "keep-alive") ||
+      mr_text_equal_nocase (connection, "close"))
     return FALSE;
   return S_list_has (connection, name);
 }
--- a/src/http_message.h
+++ b/src/http_message.h
@@ -19,20 +19,20 @@
 
 typedef enum
 {
-  MR_HTTP_IDLE,     /* no byte of a message yet */
-  MR_HTTP_HEAD,     /* in the head */
-  MR_HTTP_BODY,     /* head known, body not whole */
-  MR_HTTP_DONE,     /* a whole message */
-  MR_HTTP_BAD,      /* not HTTP, or ambiguous */
-  MR_HTTP_HEAD_BIG, /* over the limit for heads */
-  MR_HTTP_BODY_BIG,
+  MR_HTTP_IDLE,           /* no byte of a message yet */
+  MR_HTTP_HEAD,           /* in the head */
+  MR_HTTP_BODY,           /* head known, body not whole */
+  MR_HTTP_DONE,           /* a whole message */
+  MR_HTTP_MALFORMED,      /* not HTTP, or ambiguous */
+  MR_HTTP_HEAD_TOO_LARGE, /* over the limit for heads */
+  MR_HTTP_BODY_TOO_LARGE,
 } MrHttpState;
 
 /* Bytes; 0 means no limit. */
 typedef struct
 {
-  gsize head;
-  gsize body;
+  gsize max_head_bytes;
+  gsize max_body_bytes;
 } MrHttpLimits;
 
 typedef struct
@@ -70,15 +70,15 @@
 MrHttpField mr_http_parser_field (const MrHttpParser *parser, guint index);
 
 /* First field of that name; @count, which may be NULL, gets how many there are. */
-MrText mr_http_parser_find (const MrHttpParser *parser, const char *name, guint *count);
+MrText mr_http_parser_find_field (const MrHttpParser *parser, const char *name, guint *count);
 
 /* FALSE if the connection ends with this message. */
 gboolean mr_http_parser_keep_alive (const MrHttpParser *parser);
-gboolean mr_http_parser_waits_for_continue (const MrHttpParser *parser);
+gboolean mr_http_parser_expects_continue (const MrHttpParser *parser);
 
 /* TRUE for fields that concern one connection or the framing only, and are not
  * passed on; those that the message's own Connection field names are among
  * them. */
-gboolean mr_http_parser_is_hop_field (const MrHttpParser *parser, MrText name);
+gboolean mr_http_parser_is_hop_by_hop (const MrHttpParser *parser, MrText name);
 
-gboolean mr_text_equal_fold (MrText a, const char *b);
+gboolean mr_text_equal_nocase (MrText a, const char *b);
--- a/src/http_server.c
+++ b/src/http_server.c
@@ -39,7 +39,7 @@
 
 struct _MrHttpServer
 {
-  MrHttpHost *host;
+  MrHttpHandler *host;
   struct lws_protocols protocols[2];
   struct lws_vhost *vhost;
   GHashTable *pending; /* guint64 id -> Pending */
@@ -135,8 +135,8 @@
     .method = mr_text (s->method),
     .path = mr_text_of (s->path),
     .body = mr_text_of (s->body),
-    .args = s->args,
-    .first = s->first,
+    .query_args = s->args,
+    .first_on_connection = s->first,
   };
   server->host->on_request (server->host, &request);
 }
@@ -159,7 +159,7 @@
   char length[24];
   guint64 bytes = 0;
   int len = lws_hdr_copy (wsi, length, sizeof length, WSI_TOKEN_HTTP_CONTENT_LENGTH);
-  if (len > 0 && !mr_text_to_u64 ((MrText){ length, (size_t) len }, &bytes))
+  if (len > 0 && !mr_text_parse_u64 ((MrText){ length, (size_t) len }, &bytes))
     {
       lws_return_http_status (wsi, HTTP_STATUS_BAD_REQUEST, NULL);
       return lws_http_transaction_completed (wsi);
@@ -245,8 +245,8 @@
 static void
 S_on_closed (MrHttpServer *server, Session *s)
 {
-  if (s->id && g_hash_table_remove (server->pending, &s->id) && server->host->on_gone)
-    server->host->on_gone (server->host, s->id);
+  if (s->id && g_hash_table_remove (server->pending, &s->id) && server->host->on_disconnect)
+    server->host->on_disconnect (server->host, s->id);
   S_session_reset (s);
 }
 
@@ -298,7 +298,7 @@
 }
 
 MrHttpServer *
-mr_http_server_new (MrLoop *loop, MrHttpHost *host, const char *ip, int port, size_t max_body)
+mr_http_server_new (MrLoop *loop, MrHttpHandler *host, const char *ip, int port, size_t max_body)
 {
   MrHttpServer *server = g_new0 (MrHttpServer, 1);
   server->host = host;
@@ -346,14 +346,14 @@
   Session *s = pending->session;
   s->out = g_string_new_len (reply->body.data, (gssize) reply->body.len);
   s->out_status = reply->status;
-  s->out_type = reply->type;
-  s->out_retry_after = reply->retry_after;
+  s->out_type = reply->content_type;
+  s->out_retry_after = reply->retry_after_seconds;
   lws_rx_flow_control (pending->wsi, 1);
   lws_callback_on_writable (pending->wsi);
 }
 
 guint
-mr_http_server_pending (const MrHttpServer *server)
+mr_http_server_pending_count (const MrHttpServer *server)
 {
   return g_hash_table_size (server->pending);
 }
@@ -370,20 +370,20 @@
 }
 
 void
-mr_http_server_limit_connections (MrHttpServer *server, guint most)
+mr_http_server_set_max_connections (MrHttpServer *server, guint most)
 {
   server->max_connections = most;
 }
 
 guint
-mr_http_server_connections (const MrHttpServer *server)
+mr_http_server_connection_count (const MrHttpServer *server)
 {
   return server->connections;
 }
 
 const char *
-mr_http_arg (const MrHttpRequest *request, const char *name, const char *fallback)
+mr_http_query_arg (const MrHttpRequest *request, const char *name, const char *fallback)
 {
-  const char *value = g_hash_table_lookup (request->args, name);
+  const char *value = g_hash_table_lookup (request->query_args, name);
   return value ? value : fallback;
 }
--- a/src/http_server.h
+++ b/src/http_server.h
@@ -8,7 +8,7 @@
 #include "text.h"
 
 typedef struct _MrHttpServer MrHttpServer;
-typedef struct _MrHttpHost MrHttpHost;
+typedef struct _MrHttpHandler MrHttpHandler;
 
 /* One request; borrowed for the length of the callback. */
 typedef struct
@@ -17,43 +17,44 @@
   MrText method; /* "GET", "POST", "PUT" or "DELETE" */
   MrText path;   /* decoded, without the query string */
   MrText body;
-  GHashTable *args; /* char* -> char*, decoded query string */
-  gboolean first;   /* first request of its connection */
+  GHashTable *query_args;       /* char* -> char*, decoded query string */
+  gboolean first_on_connection; /* first request of its connection */
 } MrHttpRequest;
 
 /* Vtable; the server's user embeds it. */
-struct _MrHttpHost
+struct _MrHttpHandler
 {
-  void (*on_request) (MrHttpHost *host, const MrHttpRequest *request);
+  void (*on_request) (MrHttpHandler *host, const MrHttpRequest *request);
   /* The caller of @id has gone before its reply; may be NULL. */
-  void (*on_gone) (MrHttpHost *host, guint64 id);
+  void (*on_disconnect) (MrHttpHandler *host, guint64 id);
 };
 
 typedef struct
 {
   int status;
-  const char *type;  /* content type; NULL: application/json */
-  guint retry_after; /* seconds; 0 sends no such header */
+  const char *content_type;  /* content type; NULL: application/json */
+  guint retry_after_seconds; /* seconds; 0 sends no such header */
   MrText body;
 } MrHttpReply;
 
 /* Listens on @ip:@port. Bodies over @max_body bytes are answered 413. */
 MrHttpServer *
-mr_http_server_new (MrLoop *loop, MrHttpHost *host, const char *ip, int port, size_t max_body);
+mr_http_server_new (MrLoop *loop, MrHttpHandler *host, const char *ip, int port, size_t max_body);
 void mr_http_server_free (MrHttpServer *server);
 
 /* Answers request @id; may be called from within on_request. */
 void mr_http_server_reply (MrHttpServer *server, guint64 id, const MrHttpReply *reply);
 
 /* Requests that were read and have no reply sent yet. */
-guint mr_http_server_pending (const MrHttpServer *server);
+guint mr_http_server_pending_count (const MrHttpServer *server);
 
 /* Connections over @most are closed as they arrive; 0: no bound. */
-void mr_http_server_limit_connections (MrHttpServer *server, guint most);
-guint mr_http_server_connections (const MrHttpServer *server);
+void mr_http_server_set_max_connections (MrHttpServer *server, guint most);
+guint mr_http_server_connection_count (const MrHttpServer *server);
 
 /* Closes the connection of @id without a reply; for stand-ins' faults. */
 void mr_http_server_drop (MrHttpServer *server, guint64 id);
 
 /* Argument @name of @request, or @fallback. */
-const char *mr_http_arg (const MrHttpRequest *request, const char *name, const char *fallback);
+const char *
+mr_http_query_arg (const MrHttpRequest *request, const char *name, const char *fallback);
--- a/src/layout.c
+++ b/src/layout.c
@@ -7,9 +7,9 @@
   MrRouteService all_targets;
   MrRouteService *shard_sets; /* names of the shards' sets */
   MrTargetState **target_states;
-  MrPolicy policy;   /* policy that the current target limits were computed from */
-  guint use_count;   /* batches that use it */
-  gboolean outdated; /* a newer map of the service is in use */
+  MrBatchPolicy policy; /* policy that the current target limits were computed from */
+  guint use_count;      /* batches that use it */
+  gboolean outdated;    /* a newer map of the service is in use */
 };
 
 struct _MrLayouts
@@ -156,10 +156,10 @@
 
 /* Limits the calls to each target to this daemon's share of its slots. */
 static void
-S_set_limits (MrLayout *layout, const MrPolicy *policy)
+S_set_limits (MrLayout *layout, const MrBatchPolicy *policy)
 {
-  if (layout->policy.owners == policy->owners &&
-      layout->policy.target_limit == policy->target_limit && layout->policy.owners > 0)
+  if (layout->policy.owner_count == policy->owner_count &&
+      layout->policy.target_limit == policy->target_limit && layout->policy.owner_count > 0)
     return;
   layout->policy = *policy;
   for (guint i = 0; i < layout->map->target_count; i++)
@@ -168,12 +168,12 @@
       if (policy->target_limit > 0)
         slots = MIN (slots, policy->target_limit);
       mr_concurrency_limit_set_max (&layout->target_states[i]->limit,
-                                    (double) slots / MAX (policy->owners, 1));
+                                    (double) slots / MAX (policy->owner_count, 1));
     }
 }
 
 void
-mr_layout_acquire (MrLayout *layout, const MrPolicy *policy)
+mr_layout_acquire (MrLayout *layout, const MrBatchPolicy *policy)
 {
   layout->use_count++;
   S_set_limits (layout, policy);
--- a/src/layout.h
+++ b/src/layout.h
@@ -31,7 +31,7 @@
 
 /* Marks the layout as used by one more batch, and limits the calls to its targets to this
  * daemon's share of their slots. */
-void mr_layout_acquire (MrLayout *layout, const MrPolicy *policy);
+void mr_layout_acquire (MrLayout *layout, const MrBatchPolicy *policy);
 void mr_layout_release (MrLayout *layout);
 /* Returns the set of @shard in the form that routes refer to. */
 const MrRouteService *mr_layout_shard_set (const MrLayout *layout, guint shard);
--- a/src/loop.c
+++ b/src/loop.c
@@ -15,7 +15,7 @@
 
 struct _MrLoop
 {
-  MrLoopHost *host;
+  MrLoopHandler *host;
   struct lws_context *context;
   gboolean closing;
   struct lws_vhost *raw_vhost; /* NULL until a stream is made */
@@ -54,12 +54,12 @@
 S_on_library_log (int level, const char *line)
 {
   bool error = (level & LLL_ERR) != 0;
-  mr_log (error ? MR_LOG_WARNING : MR_LOG_DEBUG, MR_EVENT_LIBRARY, "%.*s",
+  mr_log (error ? MR_LOG_WARNING : MR_LOG_DEBUG, MR_EVENT_LIBRARY_MESSAGE, "%.*s",
           (int) strcspn (line, "\n"), line);
 }
 
 MrLoop *
-mr_loop_new (MrLoopHost *host, guint descriptors)
+mr_loop_new (MrLoopHandler *host, guint descriptors)
 {
   lws_set_log_level (LLL_ERR, S_on_library_log);
   MrLoop *loop = g_new0 (MrLoop, 1);
--- a/src/loop.h
+++ b/src/loop.h
@@ -11,20 +11,20 @@
 #include <libwebsockets.h>
 
 typedef struct _MrLoop MrLoop;
-typedef struct _MrLoopHost MrLoopHost;
+typedef struct _MrLoopHandler MrLoopHandler;
 
 /* Vtable; first member of the task that runs the loop. */
-struct _MrLoopHost
+struct _MrLoopHandler
 {
   /* Takes ownership of @message.  NULL: nobody sends it any. */
-  void (*on_message) (MrLoopHost *host, MrMessage *message);
+  void (*on_message) (MrLoopHandler *host, MrMessage *message);
   /* Called after each round; returns when it wants to be called again, or
    * MR_NEVER. */
-  MrTime (*on_tick) (MrLoopHost *host, MrTime now);
+  MrTime (*on_tick) (MrLoopHandler *host, MrTime now);
 };
 
 /* @descriptors: most sockets the task will hold at once. */
-MrLoop *mr_loop_new (MrLoopHost *host, guint descriptors);
+MrLoop *mr_loop_new (MrLoopHandler *host, guint descriptors);
 void mr_loop_free (MrLoop *loop);
 struct lws_context *mr_loop_context (MrLoop *loop);
 MrMailbox *mr_loop_mailbox (MrLoop *loop);
--- a/src/mailbox.h
+++ b/src/mailbox.h
@@ -12,7 +12,7 @@
 /* First member of every message struct. */
 struct _MrMessage
 {
-  int type; /* MrMessageType, see message.h */
+  int type; /* MrMessageType, see task_message.h */
   void (*free) (MrMessage *message);
 };
 
--- a/src/membership.c
+++ b/src/membership.c
@@ -153,7 +153,8 @@
   if (!MR_SAFEGUARD (MR_GUARD_REFUTE))
     return;
   self->state_version = update->state_version + 1;
-  mr_log (MR_LOG_NOTICE, MR_EVENT_REFUTED, "other members report this daemon as %s; refuting it",
+  mr_log (MR_LOG_NOTICE, MR_EVENT_SUSPICION_REFUTED,
+          "other members report this daemon as %s; refuting it",
           mr_member_state_name (update->state));
   S_record_change (m, now, &m->self, NULL, TRUE);
 }
--- a/src/merge.c
+++ b/src/merge.c
@@ -62,7 +62,7 @@
   memmove (&merge->hits[place + 1], &merge->hits[place],
            (merge->hit_count - place) * sizeof *merge->hits);
   if (!hit->data && hit->render)
-    hit->data = hit->render (hit->source);
+    hit->data = hit->render (hit->render_source);
   merge->hits[place] = *hit;
   merge->hit_count++;
   hit->key = NULL;
@@ -103,10 +103,10 @@
 {
   g_autofree guint8 *fresh = g_new0 (guint8, merge->map->shard_count);
   guint count = 0;
-  for (guint i = 0; i < partial->covered_count; i++)
-    if (S_count (merge, partial->covered[i]))
+  for (guint i = 0; i < partial->covered_shard_count; i++)
+    if (S_count (merge, partial->covered_shards[i]))
       {
-        fresh[partial->covered[i]] = 1;
+        fresh[partial->covered_shards[i]] = 1;
         count++;
       }
   for (guint i = 0; i < partial->hit_count; i++)
@@ -137,12 +137,12 @@
 }
 
 void
-mr_merge_take (MrMerge *merge, MrPartial *partial)
+mr_merge_move_into_partial (MrMerge *merge, MrPartial *partial)
 {
-  partial->covered = g_new (guint, merge->covered_count);
+  partial->covered_shards = g_new (guint, merge->covered_count);
   for (guint i = 0; i < merge->map->shard_count; i++)
-    if (merge->covered[i] && partial->covered_count < merge->covered_count)
-      partial->covered[partial->covered_count++] = i;
+    if (merge->covered[i] && partial->covered_shard_count < merge->covered_count)
+      partial->covered_shards[partial->covered_shard_count++] = i;
   partial->hits = merge->hits;
   partial->hit_count = merge->hit_count;
   merge->hits = NULL;
--- a/src/merge.h
+++ b/src/merge.h
@@ -24,7 +24,7 @@
 guint64 mr_merge_covered_weight (const MrMerge *merge);
 
 /* Moves hits and covered shards into @partial. */
-void mr_merge_take (MrMerge *merge, MrPartial *partial);
+void mr_merge_move_into_partial (MrMerge *merge, MrPartial *partial);
 
 /* Borrowed, best first. */
 const MrHit *mr_merge_hits (const MrMerge *merge, guint *count);
--- a/src/operator_pages.c
+++ b/src/operator_pages.c
@@ -155,9 +155,10 @@
   mr_traffic_write_metrics (out);
   g_string_append (out, "# HELP merlinring_search_seconds time from request to answer\n"
                         "# TYPE merlinring_search_seconds histogram\n");
-  for (int cls = 0; cls < MR_CLASS_COUNT; cls++)
+  for (int cls = 0; cls < MR_TRAFFIC_CLASS_COUNT; cls++)
     {
-      g_autofree char *label = g_strdup_printf ("class=\"%s\"", mr_class_name ((MrClass) cls));
+      g_autofree char *label =
+          g_strdup_printf ("class=\"%s\"", mr_traffic_class_name ((MrTrafficClass) cls));
       mr_metrics_write_histogram (out, "search", label, &context->latency[cls]);
     }
   return out;
--- a/src/order_flow.c
+++ b/src/order_handler.c
@@ -1,8 +1,8 @@
-#include "order_flow.h"
+#include "order_handler.h"
 
 #include "log.h"
 #include "metrics.h"
-#include "orders.h"
+#include "order_records.h"
 #include "safeguard.h"
 #include "wire.h"
 
@@ -36,54 +36,55 @@
   MrTime give_up_at;
 } Forward;
 
-struct _MrOrderFlow
+struct _MrOrderHandler
 {
   MrEntryContext *context;
-  MrOrders *orders;
+  MrOrderRecords *orders;
   GHashTable *dispatches; /* batch id -> Dispatch */
   GHashTable *forwards;   /* request -> Forward */
   guint64 last_request;
 };
 
-MrOrderFlow *
-mr_order_flow_new (MrEntryContext *context, const guint8 random[32])
+MrOrderHandler *
+mr_order_handler_new (MrEntryContext *context, const guint8 random[32])
 {
   const MrSettings *settings = context->settings;
-  MrOrdersLimits limits = {
+  MrOrderRecordLimits limits = {
     .ticket_life = settings->ticket_life_ms * MR_MS,
     .record_life = settings->record_life_ms * MR_MS,
     .max_records = (guint) settings->max_records,
   };
-  MrOrderFlow *flow = g_new0 (MrOrderFlow, 1);
+  MrOrderHandler *flow = g_new0 (MrOrderHandler, 1);
   flow->context = context;
-  flow->orders = mr_orders_new (mr_ticket_issuer_new (settings->name, mr_now (), random), &limits);
+  flow->orders =
+      mr_order_records_new (mr_ticket_issuer_new (settings->name, mr_now (), random), &limits);
   flow->dispatches = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   flow->forwards = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   return flow;
 }
 
 void
-mr_order_flow_free (MrOrderFlow *flow)
+mr_order_handler_free (MrOrderHandler *flow)
 {
   if (!flow)
     return;
   g_hash_table_unref (flow->dispatches);
   g_hash_table_unref (flow->forwards);
-  mr_orders_free (flow->orders);
+  mr_order_records_free (flow->orders);
   g_free (flow);
 }
 
 const char *
-mr_order_flow_incarnation (const MrOrderFlow *flow)
+mr_order_handler_incarnation (const MrOrderHandler *flow)
 {
-  return mr_ticket_issuer_incarnation (mr_orders_issuer (flow->orders));
+  return mr_ticket_issuer_incarnation (mr_order_records_issuer (flow->orders));
 }
 
 void
-mr_order_flow_issue (MrOrderFlow *flow, guint64 http_id)
+mr_order_handler_issue_ticket (MrOrderHandler *flow, guint64 http_id)
 {
-  char ticket[MR_TICKET_MAX + 1];
-  mr_ticket_issue (mr_orders_issuer (flow->orders), mr_now (), ticket);
+  char ticket[MR_TICKET_MAX_LENGTH + 1];
+  mr_ticket_issue (mr_order_records_issuer (flow->orders), mr_now (), ticket);
   g_autofree char *body = g_strdup_printf (
       "{\"ticket\":\"%s\",\"life_ms\":%d,\"record_life_ms\":%d}\n", ticket,
       flow->context->settings->ticket_life_ms, flow->context->settings->record_life_ms);
@@ -156,7 +157,7 @@
 }
 
 static void
-S_reply_done (MrOrderFlow *flow, guint64 http_id, MrText target_reply)
+S_reply_done (MrOrderHandler *flow, guint64 http_id, MrText target_reply)
 {
   GString *body = g_string_new ("{\"result\":102,\"name\":\"done\",\"ran\":\"yes\",\"reply\":");
   gboolean any = target_reply.len > 0;
@@ -172,7 +173,7 @@
 
 static void
 S_answer_caller (
-    MrOrderFlow *flow, guint64 http_id, MrResult result, gint64 retry_after_ms, MrText reply)
+    MrOrderHandler *flow, guint64 http_id, MrResult result, gint64 retry_after_ms, MrText reply)
 {
   S_count (result);
   if (result == MR_RESULT_DONE)
@@ -183,7 +184,7 @@
 
 static void
 S_answer (
-    MrOrderFlow *flow, const Asker *asker, MrResult result, gint64 retry_after_ms, MrText reply)
+    MrOrderHandler *flow, const Asker *asker, MrResult result, gint64 retry_after_ms, MrText reply)
 {
   if (asker->http_id != 0)
     {
@@ -191,44 +192,44 @@
       return;
     }
   MrWireOrderResult wire = {
-    .request = asker->request,
+    .request_id = asker->request,
     .sender_incarnation = asker->incarnation,
     .result = result,
     .retry_after_ms = retry_after_ms,
     .body = reply,
   };
-  mr_entry_send (flow->context, asker->daemon,
-                 mr_wire_order_result (flow->context->settings->name, &wire));
+  mr_entry_send_to_member (flow->context, asker->daemon,
+                           mr_wire_order_result (flow->context->settings->name, &wire));
 }
 
 /* Dispatch. */
 
 static void
-S_run (MrOrderFlow *flow,
+S_run (MrOrderHandler *flow,
        const Asker *asker,
        const MrServiceView *service,
-       const MrOrdersVerdict *verdict,
+       const MrOrderDecision *verdict,
        MrText ticket,
        MrText body,
        MrTime deadline)
 {
   MrEntryContext *context = flow->context;
-  MrBatch *batch = mr_batch_new (++context->last_batch, service->map, 1);
-  batch->order = TRUE;
-  batch->traffic_class = MR_CLASS_URGENT;
+  MrBatch *batch = mr_batch_new (++context->last_batch_id, service->map, 1);
+  batch->is_order = TRUE;
+  batch->traffic_class = MR_TRAFFIC_CLASS_URGENT;
   batch->deadline = deadline;
   batch->top_k = 1;
   batch->policy.target_limit = (guint) service->document.target_limit;
   /* Orders spread over the targets; the index of the first one to try. */
   batch->shards[0] = (guint) (verdict->ticket.sequence % service->map->target_count);
-  g_string_append_len (batch->query, body.data, (gssize) body.len);
+  g_string_append_len (batch->payload, body.data, (gssize) body.len);
   g_snprintf (batch->ticket, sizeof batch->ticket, "%.*s", (int) ticket.len, ticket.data);
   Dispatch *dispatch = g_new (Dispatch, 1);
   *dispatch = (Dispatch){ .asker = *asker, .sequence = verdict->ticket.sequence };
   gint64 *key = g_new (gint64, 1);
   *key = (gint64) batch->id;
   g_hash_table_insert (flow->dispatches, key, dispatch);
-  mr_entry_submit (context, batch);
+  mr_entry_submit_batch (context, batch);
 }
 
 static gboolean
@@ -238,25 +239,25 @@
 }
 
 /* Decides on an order at the process that it reached; FORWARD is returned. */
-static MrOrdersVerdict
-S_decide (MrOrderFlow *flow,
+static MrOrderDecision
+S_decide (MrOrderHandler *flow,
           const Asker *asker,
           const MrServiceView *service,
           MrText ticket,
           MrText body,
           MrTime deadline)
 {
-  MrOrdersVerdict verdict =
-      mr_orders_begin (flow->orders, mr_now (), ticket, mr_text (service->document.service), body);
-  if (verdict.decision == MR_ORDERS_RUN)
+  MrOrderDecision verdict = mr_order_records_begin (flow->orders, mr_now (), ticket,
+                                                    mr_text (service->document.service), body);
+  if (verdict.action == MR_ORDER_ACTION_RUN)
     S_run (flow, asker, service, &verdict, ticket, body, deadline);
-  else if (verdict.decision == MR_ORDERS_ANSWER)
+  else if (verdict.action == MR_ORDER_ACTION_ANSWER)
     S_answer (flow, asker, verdict.result, S_retry_after_ms (verdict.result), verdict.reply);
   return verdict;
 }
 
 static void
-S_forward (MrOrderFlow *flow,
+S_forward (MrOrderHandler *flow,
            const MrEntryRequest *request,
            const MrTicket *ticket,
            MrText text,
@@ -278,7 +279,7 @@
   };
   g_hash_table_insert (flow->forwards, &forward->request, forward);
   MrWireOrder wire = {
-    .request = forward->request,
+    .request_id = forward->request,
     .sender_incarnation = context->incarnation,
     .remaining_ms = MAX ((request->deadline - mr_now () - HOP) / MR_MS, 1),
     .body = body,
@@ -286,11 +287,14 @@
   g_strlcpy (wire.service, request->service->document.service, sizeof wire.service);
   g_snprintf (wire.ticket, sizeof wire.ticket, "%.*s", (int) text.len, text.data);
   mr_metrics_add (MR_METRIC_ORDERS_FORWARDED, 1);
-  mr_entry_send (context, home->name, mr_wire_order (context->settings->name, &wire));
+  mr_entry_send_to_member (context, home->name, mr_wire_order (context->settings->name, &wire));
 }
 
 void
-mr_order_flow_begin (MrOrderFlow *flow, const MrEntryRequest *request, MrText ticket, MrText body)
+mr_order_handler_begin (MrOrderHandler *flow,
+                        const MrEntryRequest *request,
+                        MrText ticket,
+                        MrText body)
 {
   mr_metrics_add (MR_METRIC_ORDERS, 1);
   if (!S_takes_orders (request->service))
@@ -299,16 +303,16 @@
       return;
     }
   Asker asker = { .http_id = request->http_id };
-  MrOrdersVerdict verdict =
+  MrOrderDecision verdict =
       S_decide (flow, &asker, request->service, ticket, body, request->deadline);
-  if (verdict.decision == MR_ORDERS_FORWARD)
+  if (verdict.action == MR_ORDER_ACTION_FORWARD)
     S_forward (flow, request, &verdict.ticket, ticket, body);
 }
 
 void
-mr_order_flow_remote (MrOrderFlow *flow, const MrOrderMessage *message)
+mr_order_handler_on_forwarded (MrOrderHandler *flow, const MrOrderMessage *message)
 {
-  Asker asker = { .request = message->request, .incarnation = message->incarnation };
+  Asker asker = { .request = message->request_id, .incarnation = message->incarnation };
   g_strlcpy (asker.daemon, message->from, sizeof asker.daemon);
   const MrServiceView *service = mr_view_service (flow->context->view, message->service);
   if (!S_takes_orders (service))
@@ -317,22 +321,22 @@
       return;
     }
   MrTime deadline = mr_now () + message->remaining_ms * MR_MS;
-  MrOrdersVerdict verdict = S_decide (flow, &asker, service, mr_text (message->ticket),
+  MrOrderDecision verdict = S_decide (flow, &asker, service, mr_text (message->ticket),
                                       mr_text_of (message->body), deadline);
   /* A ticket of an earlier process of our name: its memory is gone. */
-  if (verdict.decision == MR_ORDERS_FORWARD)
+  if (verdict.action == MR_ORDER_ACTION_FORWARD)
     S_answer (flow, &asker, MR_RESULT_HOME_GONE, 0, (MrText){ 0 });
 }
 
 void
-mr_order_flow_result (MrOrderFlow *flow, const MrOrderResultMessage *message)
+mr_order_handler_on_result (MrOrderHandler *flow, const MrOrderResultMessage *message)
 {
-  Forward *forward = g_hash_table_lookup (flow->forwards, &message->request);
+  Forward *forward = g_hash_table_lookup (flow->forwards, &message->request_id);
   if (!forward)
     return;
   S_answer_caller (flow, forward->http_id, message->result, message->retry_after_ms,
                    mr_text_of (message->body));
-  g_hash_table_remove (flow->forwards, &message->request);
+  g_hash_table_remove (flow->forwards, &message->request_id);
 }
 
 static MrResult
@@ -344,7 +348,7 @@
     return MR_RESULT_DEADLINE;
   if (partial->kind != MR_PARTIAL_ANSWER)
     return MR_RESULT_UNKNOWN; /* "not run" only on the word of an ended batch */
-  switch (partial->outcome)
+  switch (partial->order_outcome)
     {
     case MR_ORDER_DONE:
       return MR_RESULT_DONE;
@@ -357,18 +361,18 @@
 }
 
 gboolean
-mr_order_flow_add (MrOrderFlow *flow, MrPartial *partial)
+mr_order_handler_on_partial (MrOrderHandler *flow, MrPartial *partial)
 {
   Dispatch *dispatch = g_hash_table_lookup (flow->dispatches, &partial->batch_id);
   if (!dispatch)
     return FALSE;
   MrResult result = S_result (partial);
-  MrText reply = partial->reply ? mr_text_of (partial->reply) : (MrText){ 0 };
+  MrText reply = partial->order_reply ? mr_text_of (partial->order_reply) : (MrText){ 0 };
   if (result == MR_RESULT_UNKNOWN)
     mr_log (MR_LOG_WARNING, MR_EVENT_ORDER_UNKNOWN,
             "order %" G_GUINT64_FORMAT " was sent and not answered; told as unknown",
             dispatch->sequence);
-  mr_orders_end (flow->orders, dispatch->sequence, result, reply);
+  mr_order_records_end (flow->orders, dispatch->sequence, result, reply);
   S_answer (flow, &dispatch->asker, result, partial->retry_after_ms, reply);
   g_hash_table_remove (flow->dispatches, &partial->batch_id);
   mr_partial_free (partial);
@@ -376,7 +380,7 @@
 }
 
 MrTime
-mr_order_flow_tick (MrOrderFlow *flow, MrTime now)
+mr_order_handler_tick (MrOrderHandler *flow, MrTime now)
 {
   MrTime next = MR_NEVER;
   GHashTableIter iter;
@@ -398,7 +402,7 @@
 }
 
 guint
-mr_order_flow_count (const MrOrderFlow *flow)
+mr_order_handler_pending_count (const MrOrderHandler *flow)
 {
   return g_hash_table_size (flow->dispatches) + g_hash_table_size (flow->forwards);
 }
--- a/src/orders.c
+++ b/src/order_records.c
@@ -1,4 +1,4 @@
-#include "orders.h"
+#include "order_records.h"
 
 #include "safeguard.h"
 #include <xxhash.h>
@@ -20,10 +20,10 @@
   GList *link; /* in by_age */
 } Record;
 
-struct _MrOrders
+struct _MrOrderRecords
 {
   MrTicketIssuer *issuer;
-  MrOrdersLimits limits;
+  MrOrderRecordLimits limits;
   GHashTable *records; /* sequence -> Record */
   GQueue by_age;       /* Record, in the order they were made */
   guint in_flight;
@@ -38,10 +38,10 @@
   g_free (record);
 }
 
-MrOrders *
-mr_orders_new (MrTicketIssuer *issuer, const MrOrdersLimits *limits)
+MrOrderRecords *
+mr_order_records_new (MrTicketIssuer *issuer, const MrOrderRecordLimits *limits)
 {
-  MrOrders *orders = g_new0 (MrOrders, 1);
+  MrOrderRecords *orders = g_new0 (MrOrderRecords, 1);
   orders->issuer = issuer;
   orders->limits = *limits;
   orders->records = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, S_record_free);
@@ -50,7 +50,7 @@
 }
 
 void
-mr_orders_free (MrOrders *orders)
+mr_order_records_free (MrOrderRecords *orders)
 {
   if (!orders)
     return;
@@ -61,13 +61,13 @@
 }
 
 MrTicketIssuer *
-mr_orders_issuer (MrOrders *orders)
+mr_order_records_issuer (MrOrderRecords *orders)
 {
   return orders->issuer;
 }
 
 static void
-S_forget (MrOrders *orders, Record *record)
+S_forget (MrOrderRecords *orders, Record *record)
 {
   g_queue_delete_link (&orders->by_age, record->link);
   g_hash_table_remove (orders->records, &record->sequence);
@@ -75,7 +75,7 @@
 
 /* Drops records past their life; one in flight is never dropped. */
 static void
-S_purge (MrOrders *orders, MrTime now)
+S_purge (MrOrderRecords *orders, MrTime now)
 {
   for (Record *record = g_queue_peek_head (&orders->by_age);
        record && record->purge_at <= now && record->state == RECORD_ENDED;
@@ -83,10 +83,10 @@
     S_forget (orders, record);
 }
 
-static MrOrdersVerdict
-S_answer (MrOrdersVerdict verdict, MrResult result)
+static MrOrderDecision
+S_answer (MrOrderDecision verdict, MrResult result)
 {
-  verdict.decision = MR_ORDERS_ANSWER;
+  verdict.action = MR_ORDER_ACTION_ANSWER;
   verdict.result = result;
   return verdict;
 }
@@ -98,8 +98,8 @@
   return XXH64 (body.data ? body.data : "", body.len, seed);
 }
 
-static MrOrdersVerdict
-S_from_record (const Record *record, MrOrdersVerdict verdict, guint64 body_hash)
+static MrOrderDecision
+S_from_record (const Record *record, MrOrderDecision verdict, guint64 body_hash)
 {
   if (record->body_hash != body_hash)
     return S_answer (verdict, MR_RESULT_TICKET_REUSED);
@@ -114,8 +114,8 @@
  * gone?  Its age tells, since records outlive tickets: within ticket_life it
  * may run; then until record_life a record would still be here, so it surely
  * never ran; after that nothing can be said. */
-static MrOrdersVerdict
-S_first_sight (MrOrders *orders, MrTime now, MrOrdersVerdict verdict, guint64 body_hash)
+static MrOrderDecision
+S_first_sight (MrOrderRecords *orders, MrTime now, MrOrderDecision verdict, guint64 body_hash)
 {
   MrTime age = mr_ticket_age (orders->issuer, &verdict.ticket, now);
   if (MR_SAFEGUARD (MR_GUARD_TICKET_EXPIRY))
@@ -138,14 +138,15 @@
   g_queue_push_tail (&orders->by_age, record);
   record->link = g_queue_peek_tail_link (&orders->by_age);
   orders->in_flight++;
-  verdict.decision = MR_ORDERS_RUN;
+  verdict.action = MR_ORDER_ACTION_RUN;
   return verdict;
 }
 
-MrOrdersVerdict
-mr_orders_begin (MrOrders *orders, MrTime now, MrText ticket, MrText service, MrText body)
+MrOrderDecision
+mr_order_records_begin (
+    MrOrderRecords *orders, MrTime now, MrText ticket, MrText service, MrText body)
 {
-  MrOrdersVerdict verdict = { 0 };
+  MrOrderDecision verdict = { 0 };
   S_purge (orders, now);
   if (ticket.len == 0)
     return S_answer (verdict, MR_RESULT_NO_TICKET);
@@ -158,7 +159,7 @@
        * knows, so it is asked, and if it is gone nobody dispatches. */
       if (MR_SAFEGUARD (MR_GUARD_TICKET_OWNER))
         {
-          verdict.decision = MR_ORDERS_FORWARD;
+          verdict.action = MR_ORDER_ACTION_FORWARD;
           return verdict;
         }
     }
@@ -176,7 +177,7 @@
 }
 
 void
-mr_orders_end (MrOrders *orders, guint64 sequence, MrResult result, MrText reply)
+mr_order_records_end (MrOrderRecords *orders, guint64 sequence, MrResult result, MrText reply)
 {
   Record *record = g_hash_table_lookup (orders->records, &sequence);
   if (!record || record->state != RECORD_IN_FLIGHT)
@@ -193,13 +194,13 @@
 }
 
 guint
-mr_orders_count (const MrOrders *orders)
+mr_order_records_count (const MrOrderRecords *orders)
 {
   return g_hash_table_size (orders->records);
 }
 
 guint
-mr_orders_in_flight (const MrOrders *orders)
+mr_order_records_in_flight (const MrOrderRecords *orders)
 {
   return orders->in_flight;
 }
--- a/src/orders.h
+++ b/src/order_records.h
@@ -11,42 +11,42 @@
 #include "result.h"
 #include "ticket.h"
 
-typedef struct _MrOrders MrOrders;
+typedef struct _MrOrderRecords MrOrderRecords;
 
 typedef struct
 {
   MrTime ticket_life; /* a ticket is dispatched within this of its issue */
   MrTime record_life; /* a record is kept this long after that */
   guint max_records;
-} MrOrdersLimits;
+} MrOrderRecordLimits;
 
 typedef enum
 {
-  MR_ORDERS_RUN,     /* dispatch it now; the record is made */
-  MR_ORDERS_FORWARD, /* another incarnation's: its daemon is named in @ticket */
-  MR_ORDERS_ANSWER,  /* answer with @result and @reply; nothing to run */
-} MrOrdersDecision;
+  MR_ORDER_ACTION_RUN,     /* dispatch it now; the record is made */
+  MR_ORDER_ACTION_FORWARD, /* another incarnation's: its daemon is named in @ticket */
+  MR_ORDER_ACTION_ANSWER,  /* answer with @result and @reply; nothing to run */
+} MrOrderAction;
 
 typedef struct
 {
-  MrOrdersDecision decision;
+  MrOrderAction action;
   MrResult result;
   MrText reply; /* borrowed until the next call */
   MrTicket ticket;
-} MrOrdersVerdict;
+} MrOrderDecision;
 
 /* Takes @issuer. */
-MrOrders *mr_orders_new (MrTicketIssuer *issuer, const MrOrdersLimits *limits);
-void mr_orders_free (MrOrders *orders);
-MrTicketIssuer *mr_orders_issuer (MrOrders *orders);
+MrOrderRecords *mr_order_records_new (MrTicketIssuer *issuer, const MrOrderRecordLimits *limits);
+void mr_order_records_free (MrOrderRecords *orders);
+MrTicketIssuer *mr_order_records_issuer (MrOrderRecords *orders);
 
 /* What to do with a request that presents @ticket with @body for @service. */
-MrOrdersVerdict
-mr_orders_begin (MrOrders *orders, MrTime now, MrText ticket, MrText service, MrText body);
+MrOrderDecision mr_order_records_begin (
+    MrOrderRecords *orders, MrTime now, MrText ticket, MrText service, MrText body);
 
 /* The dispatch of @sequence has ended; not-run outcomes free the ticket for
  * another try. */
-void mr_orders_end (MrOrders *orders, guint64 sequence, MrResult result, MrText reply);
+void mr_order_records_end (MrOrderRecords *orders, guint64 sequence, MrResult result, MrText reply);
 
-guint mr_orders_count (const MrOrders *orders);
-guint mr_orders_in_flight (const MrOrders *orders);
+guint mr_order_records_count (const MrOrderRecords *orders);
+guint mr_order_records_in_flight (const MrOrderRecords *orders);
--- a/src/peer_link.c
+++ b/src/peer_link.c
@@ -74,7 +74,7 @@
   link->in = zmq_socket (link->context, ZMQ_ROUTER);
   S_set_common (link->in);
   S_set_int (link->in, ZMQ_RCVHWM, RECEIVE_QUEUE);
-  int64_t most = MR_WIRE_MAX;
+  int64_t most = MR_WIRE_MAX_BYTES;
   zmq_setsockopt (link->in, ZMQ_MAXMSGSIZE, &most, sizeof most);
   g_autofree char *endpoint = g_strdup_printf ("tcp://%s:%d", ip, port);
   if (zmq_bind (link->in, endpoint) != 0)
@@ -151,7 +151,7 @@
 }
 
 gboolean
-mr_peer_link_ask (MrPeerLink *link, MrTime now, const char *ip, int port, const GString *bytes)
+mr_peer_link_request (MrPeerLink *link, MrTime now, const char *ip, int port, const GString *bytes)
 {
   g_hash_table_foreach_remove (link->questions, S_is_overdue, &now);
   if (g_hash_table_size (link->questions) >= QUESTIONS_MAX)
@@ -160,7 +160,7 @@
 }
 
 gboolean
-mr_peer_link_answer (MrPeerLink *link, const GString *bytes)
+mr_peer_link_reply (MrPeerLink *link, const GString *bytes)
 {
   if (zmq_msg_size (&link->asker) == 0 ||
       zmq_send (link->in, zmq_msg_data (&link->asker), zmq_msg_size (&link->asker),
@@ -177,7 +177,7 @@
 }
 
 void
-mr_peer_link_renew (MrPeerLink *link, MrTime now, const char *ip, int port)
+mr_peer_link_reconnect (MrPeerLink *link, MrTime now, const char *ip, int port)
 {
   g_autofree char *key = g_strdup_printf ("%s:%d", ip, port);
   const Out *out = g_hash_table_lookup (link->out, key);
@@ -193,7 +193,7 @@
 }
 
 void
-mr_peer_link_prune (MrPeerLink *link, MrTime now)
+mr_peer_link_close_idle (MrPeerLink *link, MrTime now)
 {
   g_hash_table_foreach_remove (link->out, S_is_idle, &now);
   g_hash_table_foreach_remove (link->questions, S_is_overdue, &now);
@@ -274,7 +274,7 @@
 }
 
 guint
-mr_peer_link_sockets (const MrPeerLink *link)
+mr_peer_link_socket_count (const MrPeerLink *link)
 {
   return g_hash_table_size (link->out) + g_hash_table_size (link->questions);
 }
--- a/src/peer_link.h
+++ b/src/peer_link.h
@@ -25,20 +25,20 @@
 /* The same, for a message whose answer is awaited: the answer comes back by this connection,
  * which is then closed, or when it does not come. */
 gboolean
-mr_peer_link_ask (MrPeerLink *link, MrTime now, const char *ip, int port, const GString *bytes);
+mr_peer_link_request (MrPeerLink *link, MrTime now, const char *ip, int port, const GString *bytes);
 
 /* Answers the message that was received last, by the connection that it came by. */
-gboolean mr_peer_link_answer (MrPeerLink *link, const GString *bytes);
+gboolean mr_peer_link_reply (MrPeerLink *link, const GString *bytes);
 
 /* Closes the sockets to @ip:@port, and drops what waits in it. */
 void mr_peer_link_close (MrPeerLink *link, const char *ip, int port);
 
 /* A new process answers at @ip:@port: closes a socket that was opened for the one
  * before, or that still waits for a VM that was off. */
-void mr_peer_link_renew (MrPeerLink *link, MrTime now, const char *ip, int port);
+void mr_peer_link_reconnect (MrPeerLink *link, MrTime now, const char *ip, int port);
 
 /* Closes sockets that were not used for a while. */
-void mr_peer_link_prune (MrPeerLink *link, MrTime now);
+void mr_peer_link_close_idle (MrPeerLink *link, MrTime now);
 
 /* Waits for a message or for @wake_fd, at most @wait. */
 void mr_peer_link_wait (MrPeerLink *link, int wake_fd, MrTime wait);
@@ -47,4 +47,4 @@
 GString *mr_peer_link_receive (MrPeerLink *link);
 
 /* Sockets that are connected to peers. */
-guint mr_peer_link_sockets (const MrPeerLink *link);
+guint mr_peer_link_socket_count (const MrPeerLink *link);
--- a/src/platform_codec.c
+++ b/src/platform_codec.c
@@ -10,15 +10,15 @@
     {
     case MR_PLATFORM_LIST:
       return g_strdup_printf ("/v1/objects/%s?since=%" G_GUINT64_FORMAT "&wait_ms=%u",
-                              request->kind, request->since, request->wait_ms);
+                              request->kind, request->since_revision, request->wait_ms);
     case MR_PLATFORM_READ:
       return g_strdup_printf ("/v1/objects/%s/%s", request->kind, request->name);
     case MR_PLATFORM_WRITE:
-      if (request->expected == MR_VERSION_ANY)
+      if (request->expected_version == MR_VERSION_ANY)
         return g_strdup_printf ("/v1/objects/%s/%s?version=any", request->kind, request->name);
       return g_strdup_printf ("/v1/objects/%s/%s?version=%" G_GUINT64_FORMAT, request->kind,
-                              request->name, request->expected);
-    case MR_PLATFORM_VMS:
+                              request->name, request->expected_version);
+    case MR_PLATFORM_LIST_VMS:
       return g_strdup ("/v1/vms");
     }
   return NULL;
@@ -73,7 +73,7 @@
   if (result->request->action == MR_PLATFORM_READ)
     S_read_object (result, root);
   if (!root && result->status == MR_OK)
-    result->status = MR_ERROR_UNAVAIL;
+    result->status = MR_ERROR_UNAVAILABLE;
   json_decref (root);
 }
 
@@ -89,9 +89,9 @@
     case 409:
       return MR_ERROR_CONFLICT;
     case 503:
-      return MR_ERROR_UNAVAIL;
+      return MR_ERROR_UNAVAILABLE;
     default:
-      return request->action == MR_PLATFORM_WRITE ? MR_ERROR_UNSURE : MR_ERROR_UNAVAIL;
+      return request->action == MR_PLATFORM_WRITE ? MR_ERROR_OUTCOME_UNKNOWN : MR_ERROR_UNAVAILABLE;
     }
 }
 
--- a/src/platform_codec.h
+++ b/src/platform_codec.h
@@ -5,8 +5,8 @@
  * same semantics takes one file. */
 #pragma once
 
-#include "message.h"
 #include "status.h"
+#include "task_message.h"
 
 typedef struct
 {
--- a/src/platform_task.c
+++ b/src/platform_task.c
@@ -21,7 +21,7 @@
 
 struct _MrPlatformTask
 {
-  MrLoopHost host;
+  MrLoopHandler host;
   MrLoop *loop;
   MrHttpClient *client;
   const MrPlatformCodec *codec;
@@ -34,15 +34,15 @@
 
 /* A write without an answer may still have been applied by the platform. */
 static MrStatus
-S_status_without_answer (const MrPlatformRequest *request, const MrHttpAnswer *answer)
+S_status_without_answer (const MrPlatformRequest *request, const MrHttpResponse *answer)
 {
-  if (answer && answer->outcome == MR_HTTP_REFUSED)
-    return MR_ERROR_UNAVAIL;
-  return request->action == MR_PLATFORM_WRITE ? MR_ERROR_UNSURE : MR_ERROR_UNAVAIL;
+  if (answer && answer->outcome == MR_HTTP_CONNECT_FAILED)
+    return MR_ERROR_UNAVAILABLE;
+  return request->action == MR_PLATFORM_WRITE ? MR_ERROR_OUTCOME_UNKNOWN : MR_ERROR_UNAVAILABLE;
 }
 
 static void
-S_post (MrPlatformTask *task, MrPlatformRequest *request, const MrHttpAnswer *answer)
+S_post (MrPlatformTask *task, MrPlatformRequest *request, const MrHttpResponse *answer)
 {
   MrPlatformResult *result =
       mr_platform_result_new (request, (int) S_status_without_answer (request, answer));
@@ -52,7 +52,7 @@
 }
 
 static void
-S_finish_call (PendingCall *pending, const MrHttpAnswer *answer)
+S_finish_call (PendingCall *pending, const MrHttpResponse *answer)
 {
   MrPlatformTask *task = pending->task;
   task->lanes[pending->lane] = NULL;
@@ -61,7 +61,7 @@
 }
 
 static gboolean
-S_on_answer (void *user, const MrHttpAnswer *answer)
+S_on_answer (void *user, const MrHttpResponse *answer)
 {
   S_finish_call (user, answer);
   return TRUE;
@@ -85,10 +85,10 @@
     .method = call.method,
     .ip = task->ip,
     .port = task->port,
-    .lane = lane,
+    .connection_slot = lane,
     .path = path,
     .body = body ? mr_text_of (body) : (MrText){ 0 },
-    .done = S_on_answer,
+    .on_response = S_on_answer,
     .user = pending,
   };
   gboolean maybe_sent = FALSE;
@@ -98,7 +98,8 @@
       task->lanes[lane] = pending;
       return;
     }
-  MrHttpAnswer refused = { .outcome = maybe_sent ? MR_HTTP_BROKEN : MR_HTTP_REFUSED };
+  MrHttpResponse refused = { .outcome =
+                                 maybe_sent ? MR_HTTP_CONNECTION_LOST : MR_HTTP_CONNECT_FAILED };
   g_free (pending);
   S_post (task, request, &refused);
 }
@@ -114,7 +115,7 @@
 }
 
 static void
-S_on_message (MrLoopHost *host, MrMessage *message)
+S_on_message (MrLoopHandler *host, MrMessage *message)
 {
   MrPlatformTask *task = (MrPlatformTask *) host;
   if (message->type != MR_MESSAGE_PLATFORM_REQUEST)
@@ -126,7 +127,7 @@
 }
 
 static MrTime
-S_on_tick (MrLoopHost *host, MrTime now)
+S_on_tick (MrLoopHandler *host, MrTime now)
 {
   MrPlatformTask *task = (MrPlatformTask *) host;
   MrTime next = MR_NEVER;
@@ -151,7 +152,7 @@
 mr_platform_task_new (const char *ip, int port, const MrPlatformCodec *codec, MrMailbox *results)
 {
   MrPlatformTask *task = g_new0 (MrPlatformTask, 1);
-  task->host = (MrLoopHost){ .on_message = S_on_message, .on_tick = S_on_tick };
+  task->host = (MrLoopHandler){ .on_message = S_on_message, .on_tick = S_on_tick };
   task->loop = mr_loop_new (&task->host, LANES);
   if (!task->loop)
     {
--- a/src/prober.c
+++ b/src/prober.c
@@ -28,7 +28,7 @@
 
 typedef struct
 {
-  MrStreamHost host;
+  MrStreamHandler host;
   MrProber *prober;
   GList link;
   char *target;
@@ -122,11 +122,11 @@
     }
   probe->connections++;
   prober->counts.connections++;
-  S_set_state (probe, PROBE_CONNECTING, now + MR_CONNECT_WAIT);
+  S_set_state (probe, PROBE_CONNECTING, now + MR_CONNECT_TIMEOUT);
 }
 
 static void
-S_opened (MrStreamHost *host, MrStream *stream)
+S_opened (MrStreamHandler *host, MrStream *stream)
 {
   Probe *probe = (Probe *) host;
   (void) stream;
@@ -138,7 +138,7 @@
 
 /* Unexpected data, but it shows that the process is alive. */
 static void
-S_received (MrStreamHost *host, MrStream *stream, MrText bytes)
+S_received (MrStreamHandler *host, MrStream *stream, MrText bytes)
 {
   (void) stream;
   (void) bytes;
@@ -155,10 +155,10 @@
 }
 
 static void
-S_ended (MrStreamHost *host, MrStream *stream, MrStreamEnd end)
+S_ended (MrStreamHandler *host, MrStream *stream, MrStreamEnd end)
 {
   Probe *probe = (Probe *) host;
-  gboolean accepted = mr_stream_was_accepted (stream);
+  gboolean accepted = mr_stream_was_established (stream);
   (void) end;
   probe->stream = NULL;
   if (accepted && probe->after_break && probe->connections < CONNECTIONS_MAX)
@@ -172,7 +172,7 @@
 {
   Probe *probe = g_new (Probe, 1);
   *probe = (Probe){
-    .host = { .opened = S_opened, .received = S_received, .ended = S_ended },
+    .host = { .on_open = S_opened, .on_data = S_received, .on_end = S_ended },
     .prober = prober,
     .target = g_strdup (target->id),
     .ip = g_strdup (target->ip),
--- a/src/process.c
+++ b/src/process.c
@@ -8,7 +8,8 @@
 mr_process_init (MrProcess *process)
 {
   *process = (MrProcess){ 0 };
-  if (getrandom (process->random, sizeof process->random, 0) != (ssize_t) sizeof process->random)
+  if (getrandom (process->random_bytes, sizeof process->random_bytes, 0) !=
+      (ssize_t) sizeof process->random_bytes)
     return mr_fail (MR_ERROR_SYSTEM, "no random bytes from the system");
   sigemptyset (&process->signals);
   sigaddset (&process->signals, SIGTERM);
@@ -24,7 +25,7 @@
 mr_process_incarnation (const MrProcess *process)
 {
   guint64 number = 0;
-  memcpy (&number, process->random, sizeof number);
+  memcpy (&number, process->random_bytes, sizeof number);
   return number;
 }
 
@@ -32,7 +33,7 @@
 mr_process_seed (const MrProcess *process)
 {
   guint32 seed = 0;
-  memcpy (&seed, process->random + sizeof (guint64), sizeof seed);
+  memcpy (&seed, process->random_bytes + sizeof (guint64), sizeof seed);
   return seed;
 }
 
@@ -73,7 +74,7 @@
 static void
 S_stop (const MrProcess *process, const MrProcessTasks *tasks)
 {
-  g_usleep ((gulong) tasks->farewell);
+  g_usleep ((gulong) tasks->shutdown_delay);
   for (guint i = 0; i < MR_PROCESS_LOOPS_MAX && tasks->loops[i]; i++)
     mr_loop_stop (tasks->loops[i]);
   mr_control_task_stop (tasks->control);
@@ -82,7 +83,7 @@
 }
 
 void
-mr_process_serve (MrProcess *process, const MrProcessTasks *tasks, const MrSettings *settings)
+mr_process_run (MrProcess *process, const MrProcessTasks *tasks, const MrSettings *settings)
 {
   S_start (process, tasks);
   mr_log (MR_LOG_NOTICE, MR_EVENT_STARTED, "%s started in %s: callers %s:%d, peers %s:%d",
@@ -95,7 +96,7 @@
 
 /* The main thread waits for signals; the end is one more. */
 void
-mr_process_end (void)
+mr_process_quit (void)
 {
   kill (getpid (), SIGUSR1);
 }
--- a/src/process.h
+++ b/src/process.h
@@ -16,7 +16,7 @@
 
 typedef struct
 {
-  guint8 random[MR_PROCESS_RANDOM_BYTES];
+  guint8 random_bytes[MR_PROCESS_RANDOM_BYTES];
   sigset_t signals;
   pthread_t threads[MR_PROCESS_LOOPS_MAX + 1];
   guint thread_count;
@@ -32,7 +32,7 @@
   void *user;
   /* Between the end of serving and that of the threads, for the last heartbeat,
    * which says that this daemon has left. */
-  MrTime farewell;
+  MrTime shutdown_delay;
 } MrProcessTasks;
 
 /* Blocks the signals that mr_process_serve () takes; before any thread starts. */
@@ -43,6 +43,6 @@
 guint32 mr_process_seed (const MrProcess *process);
 
 /* Runs the tasks until mr_process_end (). */
-void mr_process_serve (MrProcess *process, const MrProcessTasks *tasks, const MrSettings *settings);
+void mr_process_run (MrProcess *process, const MrProcessTasks *tasks, const MrSettings *settings);
 /* From any thread. */
-void mr_process_end (void);
+void mr_process_quit (void);
--- a/src/query.c
+++ b/src/query.c
@@ -49,10 +49,10 @@
 {
   MrQueryHost *host;
   MrShardMap *map;
-  MrClass traffic_class;
+  MrTrafficClass traffic_class;
   GString *text;
   guint top_k;
-  MrPolicy policy;
+  MrBatchPolicy policy;
   char self[MR_NAME_MAX + 1];
   MrTime finish_by; /* deadline less the reserve */
   MrTime hop;
@@ -88,8 +88,8 @@
     return; /* no candidates: this daemon itself */
   const MrMember *ranked[64];
   guint owners = CLAMP ((guint) info->document->owners_per_cell, 1, 64 - CANDIDATES);
-  guint found = mr_owner_rank (info->members, info->map, cell, cell_shards, info->avoid, ranked,
-                               owners + CANDIDATES - 1);
+  guint found = mr_owner_rank (info->members, info->map, cell, cell_shards, info->excluded_owners,
+                               ranked, owners + CANDIDATES - 1);
   /* Of several owners a root uses its own rank among them, so that roots
    * spread over the owners without asking each other. */
   guint shift = owners > 1 ? g_str_hash (info->self) % owners : 0;
@@ -108,11 +108,11 @@
   q->traffic_class = info->traffic_class;
   q->text = g_string_new_len (info->text.data, (gssize) info->text.len);
   q->top_k = info->top_k;
-  q->policy = (MrPolicy){
-    .extra_calls = info->document->extra_calls,
+  q->policy = (MrBatchPolicy){
+    .extra_call_ratio = info->document->extra_calls,
     .hedge_quantile = info->document->hedge_quantile,
     .target_limit = (guint) info->document->target_limit,
-    .owners = info->document->direct ? 1 : (guint) info->document->owners_per_cell,
+    .owner_count = info->document->direct ? 1 : (guint) info->document->owners_per_cell,
   };
   g_strlcpy (q->self, info->self, sizeof q->self);
   q->finish_by = info->deadline - S_reserve (span);
@@ -120,7 +120,7 @@
   MrTime patience = (MrTime) (PATIENCE_SHARE * (double) span);
   q->patience = CLAMP (patience, PATIENCE_MIN, PATIENCE_MAX);
   q->merge = mr_merge_new (q->map, q->top_k);
-  q->part_count = mr_shard_map_cells (q->map, (guint) info->document->cell_shards);
+  q->part_count = mr_shard_map_cell_count (q->map, (guint) info->document->cell_shards);
   q->parts = g_new0 (Part, q->part_count);
   q->open_parts = q->part_count;
   for (guint i = 0; i < q->part_count; i++)
@@ -144,7 +144,7 @@
 S_make_batch (MrQuery *q, const Part *part, gboolean remote)
 {
   guint count = 0;
-  MrBatch *batch = mr_batch_new (q->host->next_id (q->host), q->map, part->count);
+  MrBatch *batch = mr_batch_new (q->host->next_batch_id (q->host), q->map, part->count);
   for (guint i = 0; i < part->count; i++)
     if (!mr_merge_covers (q->merge, part->first + i))
       batch->shards[count++] = part->first + i;
@@ -153,7 +153,7 @@
   batch->top_k = q->top_k;
   batch->policy = q->policy;
   batch->deadline = remote ? q->finish_by - q->hop : q->finish_by;
-  g_string_append_len (batch->query, q->text->str, (gssize) q->text->len);
+  g_string_append_len (batch->payload, q->text->str, (gssize) q->text->len);
   return batch;
 }
 
@@ -172,7 +172,7 @@
   *attempt = (Attempt){ .batch_id = batch->id, .sent_at = now, .open = TRUE };
   if (owner)
     g_strlcpy (attempt->owner, owner->name, sizeof attempt->owner);
-  q->host->send (q->host, q, owner, batch);
+  q->host->send_batch (q->host, q, owner, batch);
 }
 
 /* TRUE if another candidate, or this daemon itself, has not been tried. */
@@ -239,9 +239,9 @@
 static void
 S_note_partial (MrQuery *q, const MrPartial *partial)
 {
-  q->calls += partial->calls;
-  q->extra += partial->extra;
-  q->may_ran = q->may_ran || partial->calls > 0;
+  q->calls += partial->call_count;
+  q->extra += partial->extra_calls;
+  q->may_ran = q->may_ran || partial->call_count > 0;
   if (partial->kind != MR_PARTIAL_REFUSED && partial->kind != MR_PARTIAL_DEADLINE)
     return;
   q->refused++;
@@ -250,11 +250,11 @@
 }
 
 void
-mr_query_add (MrQuery *q, MrTime now, MrPartial *partial)
+mr_query_add_partial (MrQuery *q, MrTime now, MrPartial *partial)
 {
   Part *part = NULL;
   Attempt *attempt = S_find_attempt (q, partial->batch_id, &part);
-  if (!attempt || !attempt->open || q->ended || partial->kind == MR_PARTIAL_WORKING)
+  if (!attempt || !attempt->open || q->ended || partial->kind == MR_PARTIAL_IN_PROGRESS)
     {
       mr_partial_free (partial);
       return;
@@ -328,16 +328,16 @@
   return q->refused > 0 && mr_merge_covered_count (q->merge) == 0;
 }
 
-MrAnswer
+MrQueryAnswer
 mr_query_answer (const MrQuery *q)
 {
-  MrAnswer answer = {
+  MrQueryAnswer answer = {
     .retry_after_ms = q->retry_after_ms,
     .covered_weight = mr_merge_covered_weight (q->merge),
     .total_weight = q->map->total_weight,
-    .covered_shards = mr_merge_covered_count (q->merge),
-    .calls = q->calls,
-    .extra = q->extra,
+    .covered_shard_count = mr_merge_covered_count (q->merge),
+    .call_count = q->calls,
+    .extra_calls = q->extra,
   };
   /* Coverage says what was read: an answer that counted what was asked would
    * present a partial catalogue as whole when shards stay silent. */
@@ -365,9 +365,9 @@
 }
 
 void
-mr_query_open_batches (const MrQuery *q,
-                       void (*visit) (guint64 batch, const char *owner, void *user),
-                       void *user)
+mr_query_foreach_open_batch (const MrQuery *q,
+                             void (*visit) (guint64 batch, const char *owner, void *user),
+                             void *user)
 {
   for (guint i = 0; i < q->part_count; i++)
     for (guint a = 0; a < q->parts[i].attempt_count; a++)
--- a/src/registry.c
+++ b/src/registry.c
@@ -108,7 +108,7 @@
       g_free (key);
       return MR_OFFER_OLD;
     }
-  guint64 start = kind == MR_OBJECT_TARGET ? mr_target_record_started (body) : 0;
+  guint64 start = kind == MR_OBJECT_TARGET ? mr_target_record_start_time (body) : 0;
   MrOfferResult result = MR_OFFER_NEW;
   if (S_is_of_earlier_process (object, body, start))
     {
--- a/src/relay.c
+++ b/src/relay.c
@@ -190,7 +190,7 @@
   if (!group)
     return;
   for (guint i = 0; i < group->targets->len; i++)
-    g_ptr_array_remove_fast (((MrTargetState *) g_ptr_array_index (group->targets, i))->sets,
+    g_ptr_array_remove_fast (((MrTargetState *) g_ptr_array_index (group->targets, i))->groups,
                              group);
   g_hash_table_remove (relay->groups, name);
 }
--- a/src/relay.h
+++ b/src/relay.h
@@ -177,7 +177,7 @@
   MrTime linger;
   /* For each priority, a delay added to the arrival time in the queue order, so that no priority
    * starves.  NULL: strict priorities. */
-  const MrTime *rank_lag;
+  const MrTime *priority_delay;
   /* Cost factor of a target in another failure domain, where one in ours has 1. */
   double cross_domain_cost;
   /* How often a target may be sent the same call if it refuses it.  1 where targets refuse only
--- a/src/relay_daemon.c
+++ b/src/relay_daemon.c
@@ -2,10 +2,10 @@
 
 #include "control_task.h"
 #include "log.h"
-#include "message.h"
 #include "platform_task.h"
 #include "process.h"
 #include "relay_task.h"
+#include "task_message.h"
 
 typedef struct
 {
@@ -21,7 +21,7 @@
 S_on_stopped (void *user)
 {
   (void) user;
-  mr_process_end ();
+  mr_process_quit ();
 }
 
 static MrStatus
@@ -95,7 +95,7 @@
         .reload = S_on_reload,
         .user = &d,
       };
-      mr_process_serve (&d.process, &tasks, base);
+      mr_process_run (&d.process, &tasks, base);
     }
   mr_relay_task_free (d.relay);
   mr_platform_task_free (d.platform);
--- a/src/relay_evacuation.c
+++ b/src/relay_evacuation.c
@@ -55,8 +55,8 @@
 static void
 S_send_queued_elsewhere (MrRelay *relay, MrTime now, MrTargetState *target)
 {
-  for (guint i = 0; i < target->sets->len; i++)
-    mr_relay_send_queued (relay, now, g_ptr_array_index (target->sets, i));
+  for (guint i = 0; i < target->groups->len; i++)
+    mr_relay_send_queued (relay, now, g_ptr_array_index (target->groups, i));
 }
 
 static gboolean
--- a/src/relay_pages.c
+++ b/src/relay_pages.c
@@ -20,7 +20,7 @@
 {
   const MrRelayTask *task = ((PageHost *) host)->task;
   (void) began;
-  gboolean recognized = task->dialect->is_ready_question (mr_http_parser_target (in));
+  gboolean recognized = task->dialect->is_readiness_check (mr_http_parser_target (in));
   gboolean ready = mr_relay_task_ready (task) && task->stop_began == 0;
   int status = !recognized ? STATUS_NOT_FOUND : ready ? STATUS_OK : STATUS_UNAVAILABLE;
   mr_caller_answer (caller, status, (MrText){ 0 }, (MrText){ 0 });
@@ -29,7 +29,7 @@
 /* A host whose routes have home regions is served by daemons in these regions or in the
  * caller's. */
 static GPtrArray *
-S_entries_for (const MrRelayTask *task, const MrAddressQuestion *question)
+S_entries_for (const MrRelayTask *task, const MrAddressRequest *question)
 {
   const MrView *view = task->view;
   if (!view || !task->entry_plan.entries)
@@ -41,7 +41,7 @@
     return g_ptr_array_ref (task->entry_plan.entries);
   g_autofree char *region = mr_text_dup (question->region);
   g_hash_table_add (regions, region);
-  return mr_entry_plan_in (&task->entry_plan, task->roster, regions);
+  return mr_entry_plan_for_regions (&task->entry_plan, task->roster, regions);
 }
 
 static void
@@ -51,9 +51,9 @@
                     MrTime began)
 {
   MrRelayTask *task = ((PageHost *) host)->task;
-  MrAddressQuestion question = { 0 };
+  MrAddressRequest question = { 0 };
   (void) began;
-  if (!task->dialect->read_address_question (mr_http_parser_target (in), &question))
+  if (!task->dialect->parse_address_request (mr_http_parser_target (in), &question))
     {
       mr_caller_answer (caller, STATUS_NOT_FOUND, (MrText){ 0 }, (MrText){ 0 });
       return;
@@ -71,9 +71,9 @@
       return;
     }
   const MrRelaySettings *settings = task->settings;
-  MrTime ttl = mr_entry_keep ((guint) settings->tolerated_domain_losses,
-                              settings->address_ttl_max_ms * MR_MS);
-  g_autoptr (GString) body = task->dialect->write_addresses (addresses, ttl);
+  MrTime ttl = mr_entry_address_ttl ((guint) settings->tolerated_domain_losses,
+                                     settings->address_ttl_max_ms * MR_MS);
+  g_autoptr (GString) body = task->dialect->format_addresses (addresses, ttl);
   mr_caller_answer (caller, STATUS_OK, mr_text (json_type), mr_text_of (body));
 }
 
@@ -114,9 +114,9 @@
     { "relay_early_requests_total", task->early_request_count },
     { "relay_connections_total", client.connections },
     { "relay_reused_total", client.reused },
-    { "relay_skipped_answers_total", client.skipped },
-    { "relay_stray_bytes_total", client.stray },
-    { "relay_probes_repeated_total", client.repeated },
+    { "relay_skipped_answers_total", client.unmatched_responses },
+    { "relay_stray_bytes_total", client.stray_byte_closes },
+    { "relay_probes_repeated_total", client.repeated_probes },
   };
   for (gsize i = 0; i < G_N_ELEMENTS (counters); i++)
     S_append_metric (out, counters[i].name, "counter", counters[i].value);
@@ -170,8 +170,8 @@
   else if (mr_relay_lift_quarantine (task->relay, mr_now (), fingerprint))
     status = STATUS_OK;
   if (status == STATUS_OK)
-    mr_log (MR_LOG_NOTICE, MR_EVENT_LIFTED, "content %.*s: quarantine lifted by an operator",
-            (int) content.len, content.data);
+    mr_log (MR_LOG_NOTICE, MR_EVENT_QUARANTINE_LIFTED,
+            "content %.*s: quarantine lifted by an operator", (int) content.len, content.data);
   MrText body = status == STATUS_OK ? MR_TEXT ("{\"lifted\":true}\n")
                 : status == STATUS_NOT_FOUND
                     ? MR_TEXT ("{\"error\":\"nothing is known against it\"}\n")
--- a/src/relay_request.c
+++ b/src/relay_request.c
@@ -53,8 +53,8 @@
 static gboolean
 S_is_set_by_relay (const MrDialect *dialect, MrText name)
 {
-  return mr_text_equal_fold (name, dialect->remaining_ms) ||
-         mr_text_equal_fold (name, dialect->expected_id);
+  return mr_text_equal_nocase (name, dialect->remaining_ms) ||
+         mr_text_equal_nocase (name, dialect->expected_id);
 }
 
 static void
@@ -77,7 +77,8 @@
   for (guint i = 0; i < mr_http_parser_field_count (in); i++)
     {
       MrHttpField field = mr_http_parser_field (in, i);
-      if (!mr_http_parser_is_hop_field (in, field.name) && !S_is_set_by_relay (dialect, field.name))
+      if (!mr_http_parser_is_hop_by_hop (in, field.name) &&
+          !S_is_set_by_relay (dialect, field.name))
         S_append_field (out, field);
     }
   return out;
@@ -88,8 +89,8 @@
 S_deadline (const MrDialect *dialect, const MrHttpParser *in, const MrRoute *route, MrTime began)
 {
   guint64 ms = 0;
-  MrText text = mr_http_parser_find (in, dialect->remaining_ms, NULL);
-  if (mr_text_to_u64 (text, &ms) && ms <= G_MAXINT32)
+  MrText text = mr_http_parser_find_field (in, dialect->remaining_ms, NULL);
+  if (mr_text_parse_u64 (text, &ms) && ms <= G_MAXINT32)
     return began + (MrTime) ms * MR_MS;
   return began + route->time_limit;
 }
@@ -98,7 +99,7 @@
 static MrFingerprint
 S_fingerprint (const MrRelayTask *task, const MrHttpParser *in)
 {
-  MrText host_field = mr_http_parser_find (in, "Host", NULL);
+  MrText host_field = mr_http_parser_find_field (in, "Host", NULL);
   g_autofree char *host =
       g_ascii_strdown (host_field.data ? host_field.data : "", (gssize) host_field.len);
   const MrText texts[] = {
@@ -130,11 +131,11 @@
   MrTargetCall out = {
     .id = call->id,
     .target = call->target,
-    .bytes = mr_text_of (bytes),
+    .request = mr_text_of (bytes),
     .request_id = mr_text (request->id),
     .bodiless = request->bodiless,
     .idempotent = call->idempotent,
-    .part = request->route->kind == MR_ROUTE_SHARDS,
+    .is_part = request->route->kind == MR_ROUTE_SHARDS,
   };
   mr_target_client_call (task->client, now, &out);
   g_string_free (bytes, TRUE);
@@ -143,13 +144,13 @@
 static void
 S_on_close_call (MrRelayHost *host, guint64 id)
 {
-  mr_target_client_drop (RELAY_TASK_OF (host, relay_host)->client, id);
+  mr_target_client_close_call (RELAY_TASK_OF (host, relay_host)->client, id);
 }
 
 static gboolean
 S_on_withdraw_call (MrRelayHost *host, guint64 id)
 {
-  return mr_target_client_take_back (RELAY_TASK_OF (host, relay_host)->client, id);
+  return mr_target_client_withdraw_call (RELAY_TASK_OF (host, relay_host)->client, id);
 }
 
 static void
@@ -163,9 +164,9 @@
 {
   MrTargetClient *client = RELAY_TASK_OF (host, relay_host)->client;
   if (target->health.state == MR_HEALTH_LEAVING)
-    mr_target_client_forget (client, target);
+    mr_target_client_remove_target (client, target);
   else
-    mr_target_client_renew (client, target);
+    mr_target_client_reconnect (client, target);
 }
 
 static void
@@ -245,7 +246,7 @@
   for (guint i = 0; i < mr_http_parser_field_count (answer); i++)
     {
       MrHttpField field = mr_http_parser_field (answer, i);
-      if (!mr_http_parser_is_hop_field (answer, field.name))
+      if (!mr_http_parser_is_hop_by_hop (answer, field.name))
         S_append_field (fields, field);
     }
   S_answer (request->task, request->caller, mr_http_parser_status (answer), mr_text_of (fields),
@@ -265,7 +266,7 @@
       const MrHttpParser *answer = result->answers[i];
       if (!answer)
         continue;
-      MrText signature = mr_http_parser_find (answer, dialect->signature, NULL);
+      MrText signature = mr_http_parser_find_field (answer, dialect->signature, NULL);
       g_string_append_printf (fields, "%s%.*s", count > 0 ? ", " : "", (int) signature.len,
                               signature.data);
       parts[count++] = mr_http_parser_body (answer);
@@ -342,8 +343,8 @@
 {
   MrLogLine *line = mr_log_begin (MR_LOG_NOTICE, MR_EVENT_NO_ROUTE);
   const MrConfiguration *configuration = task->view ? task->view->configuration : NULL;
-  mr_log_text (line, "request", mr_http_parser_find (in, task->dialect->request_id, NULL));
-  mr_log_text (line, "host", mr_http_parser_find (in, "Host", NULL));
+  mr_log_text (line, "request", mr_http_parser_find_field (in, task->dialect->request_id, NULL));
+  mr_log_text (line, "host", mr_http_parser_find_field (in, "Host", NULL));
   mr_log_text (line, "target", mr_http_parser_target (in));
   mr_log_number (line, "version",
                  configuration ? (gint64) mr_configuration_version (configuration) : 0);
@@ -368,7 +369,7 @@
 {
   MrConfiguration *configuration = task->view->configuration;
   const MrRoute *route = mr_configuration_find_route (
-      configuration, mr_http_parser_find (in, "Host", NULL), mr_http_parser_target (in));
+      configuration, mr_http_parser_find_field (in, "Host", NULL), mr_http_parser_target (in));
   if (!route)
     {
       S_refuse (task, caller, in, STATUS_NOT_FOUND, "no-route");
@@ -383,7 +384,7 @@
     .route = route,
     .began = began,
     .deadline = S_deadline (task->dialect, in, route, began),
-    .id = mr_text_dup (mr_http_parser_find (in, task->dialect->request_id, NULL)),
+    .id = mr_text_dup (mr_http_parser_find_field (in, task->dialect->request_id, NULL)),
     .fingerprint = S_fingerprint (task, in),
     .bodiless = mr_text_equal (mr_http_parser_method (in), MR_TEXT ("HEAD")),
     .head = S_copy_head (task->dialect, in),
@@ -453,7 +454,7 @@
   if (mr_startup_queue_remove (task->early_requests, caller) || !request || !request->active)
     return;
   MrTime now = mr_now ();
-  MrLogLine *line = mr_log_begin (MR_LOG_INFO, MR_EVENT_CALLER_GONE);
+  MrLogLine *line = mr_log_begin (MR_LOG_INFO, MR_EVENT_CALLER_DISCONNECTED);
   mr_log_text (line, "request", mr_text (request->id));
   mr_log_text (line, "route", mr_text (request->route->name));
   mr_log_number (line, "after_us", now - request->began);
@@ -465,8 +466,9 @@
 void
 mr_relay_request_init (MrRelayTask *task)
 {
-  task->caller_host = (MrCallerServerHost){ .request = S_on_request, .gone = S_on_caller_gone };
-  task->client_host = (MrTargetClientHost){ .ended = S_on_call_ended, .probed = S_on_probed };
+  task->caller_host =
+      (MrCallerServerHost){ .request = S_on_request, .disconnected = S_on_caller_gone };
+  task->client_host = (MrTargetClientHost){ .call_ended = S_on_call_ended, .probed = S_on_probed };
   task->relay_host = (MrRelayHost){
     .send_call = S_on_send_call,
     .close_call = S_on_close_call,
--- a/src/relay_send.c
+++ b/src/relay_send.c
@@ -76,7 +76,7 @@
 static gboolean
 S_precedes (const MrRelay *relay, const RequestPart *a, const RequestPart *b)
 {
-  const MrTime *lag = relay->policy->rank_lag;
+  const MrTime *lag = relay->policy->priority_delay;
   guint a_priority = a->request->route->priority;
   guint b_priority = b->request->route->priority;
   if (lag)
@@ -246,10 +246,10 @@
   while (mr_target_state_can_take_call (target, now) && mr_target_state_has_free_slot (target))
     {
       RequestPart *next = NULL;
-      for (guint i = 0; i < target->sets->len; i++)
+      for (guint i = 0; i < target->groups->len; i++)
         {
           RequestPart *part =
-              S_first_queued_for (relay, now, g_ptr_array_index (target->sets, i), target);
+              S_first_queued_for (relay, now, g_ptr_array_index (target->groups, i), target);
           if (part && (!next || S_precedes (relay, part, next)))
             next = part;
         }
--- a/src/relay_stage.c
+++ b/src/relay_stage.c
@@ -22,7 +22,7 @@
   if (age >= STAGED_DURATION_S)
     return;
   if (now >= relay->staged_until)
-    mr_log (MR_LOG_NOTICE, MR_EVENT_STAGED,
+    mr_log (MR_LOG_NOTICE, MR_EVENT_STAGED_SEARCHES,
             "a request content crashes its targets: for %u s, searches without a recent answer "
             "are sent to one shard first",
             STAGED_DURATION_S - age);
--- a/src/relay_targets.c
+++ b/src/relay_targets.c
@@ -30,9 +30,9 @@
 {
   if (target->cold_permits == MR_COLD_UNLIMITED)
     return;
-  for (guint i = 0; i < target->sets->len; i++)
+  for (guint i = 0; i < target->groups->len; i++)
     mr_target_state_set_cold (
-        target, now, ((const TargetGroup *) g_ptr_array_index (target->sets, i))->cold_time);
+        target, now, ((const TargetGroup *) g_ptr_array_index (target->groups, i))->cold_time);
 }
 
 static void
@@ -72,8 +72,8 @@
       return;
     }
   /* Parts that were queued for this target alone can't be sent any more. */
-  for (guint i = 0; i < target->sets->len; i++)
-    mr_relay_send_queued (relay, now, g_ptr_array_index (target->sets, i));
+  for (guint i = 0; i < target->groups->len; i++)
+    mr_relay_send_queued (relay, now, g_ptr_array_index (target->groups, i));
 }
 
 static const char *
@@ -94,13 +94,13 @@
   state->health.leaving_since = now;
   g_hash_table_remove (relay->targets, S_table_key (relay, state));
   relay->host->reconnect (relay->host, state);
-  for (guint i = 0; i < state->sets->len; i++)
+  for (guint i = 0; i < state->groups->len; i++)
     {
-      TargetGroup *group = g_ptr_array_index (state->sets, i);
+      TargetGroup *group = g_ptr_array_index (state->groups, i);
       g_ptr_array_remove (group->targets, state);
       g_ptr_array_add (groups, group);
     }
-  g_ptr_array_set_size (state->sets, 0);
+  g_ptr_array_set_size (state->groups, 0);
   g_ptr_array_add (relay->removed_targets, state);
   return groups;
 }
@@ -167,7 +167,7 @@
   g_autofree char *key = S_address (target);
   MrTargetState *state = mr_target_state_new (target, key);
   g_hash_table_insert (relay->targets, (gpointer) S_table_key (relay, state), state);
-  mr_log (MR_LOG_NOTICE, MR_EVENT_TARGET_KNOWN,
+  mr_log (MR_LOG_NOTICE, MR_EVENT_TARGET_ADDED,
           "added target %s (%s) to %s, domain %s, cold for another %d ms", state->id, key,
           group_name, state->domain, (int) (cold_for / MR_MS));
   return state;
@@ -220,9 +220,9 @@
   S_set_domain (relay, state, target->domain);
   mr_target_state_set_cold (state, now, cold_for);
   TargetGroup *group = mr_relay_get_group (relay, group_name);
-  if (!g_ptr_array_find (state->sets, group, NULL))
+  if (!g_ptr_array_find (state->groups, group, NULL))
     {
-      g_ptr_array_add (state->sets, group);
+      g_ptr_array_add (state->groups, group);
       g_ptr_array_add (group->targets, state);
       group->limits_connection_share = LIMITS_UNSET;
     }
--- a/src/relay_task.c
+++ b/src/relay_task.c
@@ -37,7 +37,7 @@
           ((const MrTargetChange *) g_ptr_array_index (changes, i))->record;
       if (record)
         mr_relay_update_target (task->relay, now, record->service, &record->target, record->leaving,
-                                record->cold_for);
+                                record->cold_remaining);
     }
 }
 
@@ -47,7 +47,7 @@
   const MrConfiguration *previous = task->view ? task->view->configuration : NULL;
   if (!view->configuration || view->configuration == previous)
     return;
-  mr_log (MR_LOG_NOTICE, MR_EVENT_CONFIGURATION,
+  mr_log (MR_LOG_NOTICE, MR_EVENT_CONFIGURATION_APPLIED,
           "configuration %" G_GUINT64_FORMAT " is in force here, after %" G_GUINT64_FORMAT,
           mr_configuration_version (view->configuration),
           previous ? mr_configuration_version (previous) : 0);
@@ -63,7 +63,7 @@
     return;
   task->announced_ready = ready;
   task->announced_load = task->load;
-  MrSelfMessage *message = mr_self_message_new (MR_MEMBER_ALIVE, !ready);
+  MrLocalStateMessage *message = mr_local_state_message_new (MR_MEMBER_ALIVE, !ready);
   message->load = task->load;
   mr_mailbox_post (task->control, &message->base);
 }
@@ -72,9 +72,9 @@
 S_set_shares (MrRelayTask *task, MrTime now)
 {
   MrRelayShares shares = {
-    .connections = task->entry_plan.connections,
-    .slots = task->entry_plan.slots,
-    .allowance = task->entry_plan.allowance,
+    .connections = task->entry_plan.connection_share,
+    .slots = task->entry_plan.slot_share,
+    .allowance = task->entry_plan.allowance_share,
     .cold = mr_cold_share_update (task->cold_share, now, task->roster, &task->entry_plan),
   };
   mr_relay_set_shares (task->relay, &shares);
@@ -90,7 +90,7 @@
       mr_roster_put (task->roster, member);
       mr_cold_share_on_member (task->cold_share, now, member);
     }
-  task->entry_plan = mr_entry_plan (task->roster, task->settings->base.name);
+  task->entry_plan = mr_entry_plan_compute (task->roster, task->settings->base.name);
   S_set_shares (task, now);
 }
 
@@ -126,7 +126,7 @@
           "planned stop begun: %u open requests, %u connected callers",
           mr_relay_request_count (task->relay), mr_caller_server_connections (task->caller_server));
   mr_caller_server_drain (task->caller_server);
-  mr_mailbox_post (task->control, &mr_self_message_new (MR_MEMBER_LEAVING, TRUE)->base);
+  mr_mailbox_post (task->control, &mr_local_state_message_new (MR_MEMBER_LEAVING, TRUE)->base);
 }
 
 static void
@@ -186,7 +186,7 @@
 }
 
 static void
-S_on_message (MrLoopHost *host, MrMessage *message)
+S_on_message (MrLoopHandler *host, MrMessage *message)
 {
   MrRelayTask *task = (MrRelayTask *) host;
   if (message->type == MR_MESSAGE_VIEW)
@@ -201,7 +201,7 @@
 }
 
 static MrTime
-S_on_tick (MrLoopHost *host, MrTime now)
+S_on_tick (MrLoopHandler *host, MrTime now)
 {
   MrRelayTask *task = (MrRelayTask *) host;
   MrTime next = mr_caller_server_tick (task->caller_server, now);
@@ -246,7 +246,7 @@
 {
   MrRelayTask *task = g_new0 (MrRelayTask, 1);
   const MrRelaySettings *settings = info->settings;
-  task->loop_host = (MrLoopHost){ .on_message = S_on_message, .on_tick = S_on_tick };
+  task->loop_host = (MrLoopHandler){ .on_message = S_on_message, .on_tick = S_on_tick };
   task->settings = settings;
   task->dialect = info->dialect;
   task->on_stopped = info->stopped;
--- a/src/relay_task_private.h
+++ b/src/relay_task_private.h
@@ -9,11 +9,11 @@
 #include "cold_share.h"
 #include "entry_plan.h"
 #include "histogram.h"
-#include "message.h"
 #include "relay.h"
 #include "relay_task.h"
 #include "startup_queue.h"
 #include "target_client.h"
+#include "task_message.h"
 
 typedef struct
 {
@@ -23,7 +23,7 @@
 
 struct _MrRelayTask
 {
-  MrLoopHost loop_host;
+  MrLoopHandler loop_host;
   MrRelayHost relay_host;
   MrTargetClientHost client_host;
   MrCallerServerHost caller_host;
--- a/src/replication.c
+++ b/src/replication.c
@@ -120,10 +120,10 @@
   return g_strdup_printf ("%d/%.*s", (int) kind, (int) name.len, name.data);
 }
 
-static MrNews
+static MrObjectSummary
 S_news (const MrObject *object)
 {
-  MrNews news = { .kind = object->kind, .version = object->version };
+  MrObjectSummary news = { .kind = object->kind, .version = object->version };
   g_strlcpy (news.name, object->name, sizeof news.name);
   return news;
 }
@@ -152,7 +152,7 @@
 static void
 S_announce (MrReplication *replication, const char *neighbour)
 {
-  g_autoptr (GArray) list = g_array_new (FALSE, FALSE, sizeof (MrNews));
+  g_autoptr (GArray) list = g_array_new (FALSE, FALSE, sizeof (MrObjectSummary));
   GHashTableIter iter;
   gpointer item = NULL;
   g_hash_table_iter_init (&iter, replication->pending);
@@ -163,13 +163,14 @@
           mr_registry_get (replication->registry, pending->kind, pending->name);
       if (!object || g_str_equal (pending->learned_from, neighbour))
         continue;
-      MrNews news = S_news (object);
+      MrObjectSummary news = S_news (object);
       g_array_append_val (list, news);
     }
   if (list->len > 0)
-    replication->host->send (
-        replication->host, neighbour,
-        mr_wire_news (replication->self, (const MrNews *) (void *) list->data, list->len));
+    replication->host->send (replication->host, neighbour,
+                             mr_wire_announce (replication->self,
+                                               (const MrObjectSummary *) (void *) list->data,
+                                               list->len));
 }
 
 MrTime
@@ -211,7 +212,7 @@
 {
   MrOfferResult result = mr_registry_offer (replication->registry, kind, name, version, body);
   if (result == MR_OFFER_OLD)
-    mr_log (MR_LOG_NOTICE, MR_EVENT_OBJECT_OLD,
+    mr_log (MR_LOG_NOTICE, MR_EVENT_OBJECT_OUTDATED,
             "%s/%.*s: version %" G_GUINT64_FORMAT
             " from %s is older than the stored version; ignored",
             mr_object_kind_name (kind), (int) name.len, name.data, version,
@@ -252,7 +253,7 @@
 S_add_news (const MrObject *object, void *user)
 {
   RangeListing *listing = user;
-  MrNews news = S_news (object);
+  MrObjectSummary news = S_news (object);
   if (mr_hash_range_contains (listing->range, object->key_hash))
     g_array_append_val (listing->news, news);
 }
@@ -261,12 +262,14 @@
 static void
 S_send_list (MrReplication *replication, const char *to, MrHashRange range)
 {
-  RangeListing listing = { .range = range, .news = g_array_new (FALSE, FALSE, sizeof (MrNews)) };
+  RangeListing listing = { .range = range,
+                           .news = g_array_new (FALSE, FALSE, sizeof (MrObjectSummary)) };
   mr_registry_foreach (replication->registry, S_add_news, &listing);
-  replication->host->send (replication->host, to,
-                           mr_wire_list (replication->self, range,
-                                         (const MrNews *) (void *) listing.news->data,
-                                         listing.news->len));
+  replication->host->send (
+      replication->host, to,
+      mr_wire_range_summaries (replication->self, range,
+                               (const MrObjectSummary *) (void *) listing.news->data,
+                               listing.news->len));
   g_array_unref (listing.news);
 }
 
@@ -277,7 +280,7 @@
   guint counts[MR_HASH_RANGE_PARTS];
   mr_registry_range_digests (replication->registry, range, digests, counts);
   replication->host->send (replication->host, to,
-                           mr_wire_ranges (replication->self, range, digests));
+                           mr_wire_range_digests (replication->self, range, digests));
 }
 
 static void
@@ -310,18 +313,18 @@
 static void
 S_fetch_newer (MrReplication *replication, MrTime now, const MrWireMessage *message)
 {
-  g_autoptr (GArray) wanted = g_array_new (FALSE, FALSE, sizeof (MrNews));
+  g_autoptr (GArray) wanted = g_array_new (FALSE, FALSE, sizeof (MrObjectSummary));
   /* Only a list that was requested counts as complete. A list that results from a comparison
    * may come from a peer that holds fewer objects than this daemon. */
-  gboolean complete = message->type == MR_WIRE_LIST && message->range.bits == 0 &&
+  gboolean complete = message->type == MR_WIRE_RANGE_SUMMARIES && message->range.bits == 0 &&
                       g_hash_table_contains (replication->list_sources, message->sender);
   if (complete)
     replication->last_fetch = now;
   if (g_hash_table_size (replication->fetch_times) > MR_TARGETS_MAX)
     g_hash_table_remove_all (replication->fetch_times);
-  for (guint i = 0; i < message->news_count; i++)
+  for (guint i = 0; i < message->summary_count; i++)
     {
-      const MrNews *news = &message->news[i];
+      const MrObjectSummary *news = &message->summaries[i];
       if (news->version <= mr_registry_version (replication->registry, news->kind, news->name))
         continue;
       /* Stored at once, since a round trip for a body would leave time in which calls go to
@@ -340,9 +343,10 @@
         g_array_append_val (wanted, *news);
     }
   if (wanted->len > 0)
-    replication->host->send (
-        replication->host, message->sender,
-        mr_wire_get (replication->self, (const MrNews *) (void *) wanted->data, wanted->len));
+    replication->host->send (replication->host, message->sender,
+                             mr_wire_get (replication->self,
+                                          (const MrObjectSummary *) (void *) wanted->data,
+                                          wanted->len));
 }
 
 typedef struct
@@ -359,8 +363,8 @@
   if (!mr_hash_range_contains (missing->list->range, object->key_hash))
     return;
   g_autofree char *key = S_key (object->kind, mr_text (object->name));
-  const MrNews *theirs = g_hash_table_lookup (missing->versions, key);
-  MrNews news = S_news (object);
+  const MrObjectSummary *theirs = g_hash_table_lookup (missing->versions, key);
+  MrObjectSummary news = S_news (object);
   if (!theirs || theirs->version < object->version)
     g_array_append_val (missing->news, news);
 }
@@ -372,18 +376,18 @@
   MissingAtPeer missing = {
     .list = message,
     .versions = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL),
-    .news = g_array_new (FALSE, FALSE, sizeof (MrNews)),
+    .news = g_array_new (FALSE, FALSE, sizeof (MrObjectSummary)),
   };
-  for (guint i = 0; i < message->news_count; i++)
+  for (guint i = 0; i < message->summary_count; i++)
     g_hash_table_replace (missing.versions,
-                          S_key (message->news[i].kind, mr_text (message->news[i].name)),
-                          &message->news[i]);
+                          S_key (message->summaries[i].kind, mr_text (message->summaries[i].name)),
+                          &message->summaries[i]);
   mr_registry_foreach (replication->registry, S_add_missing_at_peer, &missing);
   if (missing.news->len > 0)
-    replication->host->send (replication->host, message->sender,
-                             mr_wire_news (replication->self,
-                                           (const MrNews *) (void *) missing.news->data,
-                                           missing.news->len));
+    replication->host->send (
+        replication->host, message->sender,
+        mr_wire_announce (replication->self, (const MrObjectSummary *) (void *) missing.news->data,
+                          missing.news->len));
   g_hash_table_unref (missing.versions);
   g_array_unref (missing.news);
 }
@@ -403,7 +407,7 @@
 S_on_list (MrReplication *replication, MrTime now, const MrWireMessage *message)
 {
   /* An empty list of the whole range is the request of a daemon that has just started. */
-  if (message->range.bits == 0 && message->news_count == 0)
+  if (message->range.bits == 0 && message->summary_count == 0)
     {
       if ((replication->complete || replication->synced) &&
           mr_registry_count (replication->registry) > 0 && S_may_send_full_list (replication, now))
@@ -419,14 +423,14 @@
 {
   g_autoptr (GPtrArray) found = g_ptr_array_new ();
   gsize bytes = 0;
-  for (guint i = 0; i < message->news_count; i++)
+  for (guint i = 0; i < message->summary_count; i++)
     {
-      const MrNews *news = &message->news[i];
+      const MrObjectSummary *news = &message->summaries[i];
       const MrObject *object = mr_registry_get (replication->registry, news->kind, news->name);
       if (object)
         g_ptr_array_add (found, (gpointer) object);
       bytes += object ? object->body->len : 0;
-      if (found->len == 0 || (bytes < BODY_BYTES_MAX && i + 1 < message->news_count))
+      if (found->len == 0 || (bytes < BODY_BYTES_MAX && i + 1 < message->summary_count))
         continue;
       replication->host->send (
           replication->host, message->sender,
@@ -442,7 +446,7 @@
   replication->last_fetch = now;
   for (guint i = 0; i < message->object_count; i++)
     {
-      const MrNews *news = &message->objects[i].news;
+      const MrObjectSummary *news = &message->objects[i].summary;
       mr_replication_offer (replication, news->kind, mr_text (news->name), news->version,
                             message->objects[i].body, message->sender);
     }
@@ -451,11 +455,11 @@
 void
 mr_replication_receive (MrReplication *replication, MrTime now, const MrWireMessage *message)
 {
-  if (message->type == MR_WIRE_NEWS)
+  if (message->type == MR_WIRE_ANNOUNCE)
     S_fetch_newer (replication, now, message);
-  else if (message->type == MR_WIRE_LIST)
+  else if (message->type == MR_WIRE_RANGE_SUMMARIES)
     S_on_list (replication, now, message);
-  else if (message->type == MR_WIRE_RANGES)
+  else if (message->type == MR_WIRE_RANGE_DIGESTS)
     S_on_ranges (replication, message);
   else if (message->type == MR_WIRE_GET)
     S_on_get (replication, message);
@@ -524,7 +528,7 @@
     return;
   g_hash_table_add (replication->list_sources, g_strdup (name));
   replication->host->send (replication->host, name,
-                           mr_wire_list (replication->self, FULL_RANGE, NULL, 0));
+                           mr_wire_range_summaries (replication->self, FULL_RANGE, NULL, 0));
 }
 
 void
--- a/src/resend_budget.c
+++ b/src/resend_budget.c
@@ -64,7 +64,7 @@
 {
   /* During an outage of a shard every call is retried.  Without a hard limit the targets
    * that still work would get twice their load and fail as well. */
-  if (!MR_SAFEGUARD (MR_GUARD_RETRY_BUDGET))
+  if (!MR_SAFEGUARD (MR_GUARD_RESEND_BUDGET))
     return true;
   S_advance_buckets (budget, config, now);
   /* The window rarely starts at a bucket boundary.  To stay within the budget in every
--- a/src/safeguard.h
+++ b/src/safeguard.h
@@ -23,7 +23,7 @@
   MR_GUARD_CONDITIONAL,   /* writes to the platform name the version that they replace */
   MR_GUARD_REFUTE,        /* a member refutes a false suspicion */
   MR_GUARD_DRAIN,         /* a planned stop waits for requests in flight */
-  MR_GUARD_RETRY_BUDGET,  /* hedges and retries draw on a budget */
+  MR_GUARD_RESEND_BUDGET, /* hedges and retries draw on a budget */
   MR_GUARD_INCARNATION,   /* the most recently started process of a target wins */
   MR_GUARD_QUARANTINE,    /* contents that crash targets are quarantined */
   MR_GUARD_EVACUATION,    /* targets of an evacuated failure domain get no new calls */
--- a/src/searches.c
+++ b/src/searches.c
@@ -1,9 +1,9 @@
 #include "searches.h"
 
 #include "log.h"
-#include "message.h"
 #include "metrics.h"
 #include "query.h"
+#include "task_message.h"
 #include "wire.h"
 
 /* A silent owner is tried again after this, if nothing was heard before. */
@@ -14,7 +14,7 @@
   MrQuery *query;
   guint64 http_id;
   MrTime received;
-  MrClass traffic_class;
+  MrTrafficClass traffic_class;
   char *request_id;
   char service[MR_NAME_MAX + 1];
   MrTime objective; /* latency, us */
@@ -55,7 +55,7 @@
 static guint64
 S_next_id (MrQueryHost *host)
 {
-  return ++((MrSearches *) host)->context->last_batch;
+  return ++((MrSearches *) host)->context->last_batch_id;
 }
 
 static void
@@ -67,12 +67,13 @@
   g_hash_table_insert (searches->by_batch, S_number (batch->id), searches->sending);
   if (!owner)
     {
-      mr_entry_submit (context, batch);
+      mr_entry_submit_batch (context, batch);
       return;
     }
   gint64 left = MAX (batch->deadline - mr_now (), 0);
-  mr_entry_send (context, owner->name,
-                 mr_wire_batch (context->settings->name, context->incarnation, batch, left));
+  mr_entry_send_to_member (
+      context, owner->name,
+      mr_wire_batch (context->settings->name, context->incarnation, batch, left));
   mr_batch_free (batch);
 }
 
@@ -98,8 +99,8 @@
 {
   MrSearches *searches = g_new0 (MrSearches, 1);
   searches->host = (MrQueryHost){
-    .send = S_send,
-    .next_id = S_next_id,
+    .send_batch = S_send,
+    .next_batch_id = S_next_id,
     .last_heard = S_last_heard,
     .owner_silent = S_owner_silent,
   };
@@ -167,7 +168,7 @@
 }
 
 static GString *
-S_reply_text (const Search *search, const MrAnswer *answer, MrTime now)
+S_reply_text (const Search *search, const MrQueryAnswer *answer, MrTime now)
 {
   const MrShardMap *map = mr_query_map (search->query);
   GString *out = g_string_new (NULL);
@@ -190,12 +191,13 @@
   g_string_append (out, "},");
   S_append_hits (out, search->query);
   g_string_append_printf (out, ",\"calls\":%u,\"extra_calls\":%u,\"elapsed_ms\":%.3f}\n",
-                          answer->calls, answer->extra, (double) (now - search->received) / MR_MS);
+                          answer->call_count, answer->extra_calls,
+                          (double) (now - search->received) / MR_MS);
   return out;
 }
 
 static void
-S_count (MrSearches *searches, const Search *search, const MrAnswer *answer, MrTime now)
+S_count (MrSearches *searches, const Search *search, const MrQueryAnswer *answer, MrTime now)
 {
   MrEntryContext *context = searches->context;
   const MrShardMap *map = mr_query_map (search->query);
@@ -213,10 +215,10 @@
   mr_burn_add (context->burn, now, search->service, &event);
   if (refused)
     {
-      context->refused_now++;
+      context->window_refused++;
       return;
     }
-  context->served_now++;
+  context->window_served++;
   mr_histogram_add (&context->latency[search->traffic_class], now - search->received);
   mr_metrics_add (answer->result == MR_RESULT_COMPLETE ? MR_METRIC_SEARCHES_COMPLETE
                                                        : MR_METRIC_SEARCHES_PARTIAL,
@@ -232,16 +234,17 @@
   MrOrigin origin = { .incarnation = context->incarnation, .batch_id = batch };
   g_hash_table_remove (searches->by_batch, &batch);
   if (owner[0] == '\0')
-    mr_mailbox_post (context->targets, &mr_forget_message_new (&origin)->base);
+    mr_mailbox_post (context->target_mailbox, &mr_cancel_batch_message_new (&origin)->base);
   else
-    mr_entry_send (context, owner,
-                   mr_wire_forget (context->settings->name, context->incarnation, batch));
+    mr_entry_send_to_member (
+        context, owner,
+        mr_wire_cancel_batch (context->settings->name, context->incarnation, batch));
 }
 
 static void
 S_remove (MrSearches *searches, Search *search)
 {
-  mr_query_open_batches (search->query, S_forget_batch, searches);
+  mr_query_foreach_open_batch (search->query, S_forget_batch, searches);
   g_hash_table_remove (searches->by_http, &search->http_id);
   g_hash_table_remove (searches->searches, search);
 }
@@ -250,7 +253,7 @@
 S_finish (MrSearches *searches, Search *search)
 {
   MrTime now = mr_now ();
-  MrAnswer answer = mr_query_answer (search->query);
+  MrQueryAnswer answer = mr_query_answer (search->query);
   S_count (searches, search, &answer, now);
   if (mr_result_ran (answer.result) == MR_RAN_NO)
     mr_entry_refuse (searches->context, search->http_id, answer.result, answer.retry_after_ms,
@@ -290,13 +293,13 @@
 mr_searches_begin (MrSearches *searches, const MrEntryRequest *request, MrText text, guint top_k)
 {
   MrEntryContext *context = searches->context;
-  g_autofree const char **avoid = S_avoided (searches, request->received);
+  g_autofree const char **avoid = S_avoided (searches, request->received_at);
   MrQueryInfo info = {
     .map = request->service->map,
     .members = context->view->members,
     .document = &request->service->document,
     .self = context->settings->name,
-    .avoid = avoid,
+    .excluded_owners = avoid,
     .traffic_class = request->traffic_class,
     .text = text,
     .top_k = top_k,
@@ -304,9 +307,9 @@
   };
   Search *search = g_new0 (Search, 1);
   *search = (Search){
-    .query = mr_query_new (&searches->host, &info, request->received),
+    .query = mr_query_new (&searches->host, &info, request->received_at),
     .http_id = request->http_id,
-    .received = request->received,
+    .received = request->received_at,
     .traffic_class = request->traffic_class,
     .request_id = g_strdup (request->request_id),
     .objective = request->service->document.objective_latency_ms * MR_MS,
@@ -317,12 +320,12 @@
   g_hash_table_insert (searches->by_http, &search->http_id, search);
   mr_metrics_add (MR_METRIC_SEARCHES, 1);
   searches->sending = search;
-  mr_query_start (search->query, request->received);
+  mr_query_start (search->query, request->received_at);
   searches->sending = NULL;
 }
 
 gboolean
-mr_searches_add (MrSearches *searches, MrPartial *partial, const char *from)
+mr_searches_add_partial (MrSearches *searches, MrPartial *partial, const char *from)
 {
   MrTime now = mr_now ();
   if (from[0] != '\0')
@@ -334,16 +337,16 @@
   Search *search = g_hash_table_lookup (searches->by_batch, &id);
   if (!search)
     return FALSE;
-  if (partial->kind == MR_PARTIAL_WORKING)
+  if (partial->kind == MR_PARTIAL_IN_PROGRESS)
     {
       mr_partial_free (partial);
       return TRUE;
     }
   g_hash_table_remove (searches->by_batch, &id);
-  if (partial->blame != MR_NO_TARGET_INDEX)
-    search->blame = partial->blame;
+  if (partial->straggler != MR_NO_TARGET_INDEX)
+    search->blame = partial->straggler;
   searches->sending = search;
-  mr_query_add (search->query, now, partial);
+  mr_query_add_partial (search->query, now, partial);
   searches->sending = NULL;
   if (mr_query_ended (search->query))
     S_finish (searches, search);
@@ -351,7 +354,7 @@
 }
 
 void
-mr_searches_drop (MrSearches *searches, guint64 http_id)
+mr_searches_cancel (MrSearches *searches, guint64 http_id)
 {
   Search *search = g_hash_table_lookup (searches->by_http, &http_id);
   if (search)
--- a/src/searches.h
+++ b/src/searches.h
@@ -14,9 +14,9 @@
 
 /* A partial from @from ("" for this daemon); FALSE, and not taken, if it
  * belongs to no search. */
-gboolean mr_searches_add (MrSearches *searches, MrPartial *partial, const char *from);
+gboolean mr_searches_add_partial (MrSearches *searches, MrPartial *partial, const char *from);
 
 /* The caller of @http_id has gone. */
-void mr_searches_drop (MrSearches *searches, guint64 http_id);
+void mr_searches_cancel (MrSearches *searches, guint64 http_id);
 MrTime mr_searches_tick (MrSearches *searches, MrTime now);
 guint mr_searches_count (const MrSearches *searches);
--- a/src/settings.c
+++ b/src/settings.c
@@ -103,7 +103,7 @@
   const char *colon = strrchr (text, ':');
   guint64 number = 0;
   unsigned char parsed[sizeof (struct in6_addr)];
-  if (colon && mr_text_to_u64 (mr_text (colon + 1), &number) && number >= 1 && number <= 65535)
+  if (colon && mr_text_parse_u64 (mr_text (colon + 1), &number) && number >= 1 && number <= 65535)
     {
       g_autofree char *host = g_strndup (text, (gsize) (colon - text));
       if (inet_pton (AF_INET, host, parsed) == 1)
@@ -144,7 +144,7 @@
 S_read_number (const Setting *setting, const char *text, int *out)
 {
   guint64 number = 0;
-  if (!mr_text_to_u64 (mr_text (text), &number) || number < (guint64) setting->least ||
+  if (!mr_text_parse_u64 (mr_text (text), &number) || number < (guint64) setting->least ||
       number > (guint64) setting->most)
     return mr_fail (MR_ERROR_INVALID,
                     "value '%s', expected a whole number from %" G_GINT64_FORMAT
--- a/src/shardmap.c
+++ b/src/shardmap.c
@@ -171,7 +171,7 @@
 }
 
 guint
-mr_shard_map_cells (const MrShardMap *map, guint cell_shards)
+mr_shard_map_cell_count (const MrShardMap *map, guint cell_shards)
 {
   return (map->shard_count + cell_shards - 1) / cell_shards;
 }
--- a/src/shardmap.h
+++ b/src/shardmap.h
@@ -53,4 +53,4 @@
 void mr_shard_map_unref (MrShardMap *map);
 
 /* Shards are cut into cells of @cell_shards consecutive ones. */
-guint mr_shard_map_cells (const MrShardMap *map, guint cell_shards);
+guint mr_shard_map_cell_count (const MrShardMap *map, guint cell_shards);
--- a/src/status.c
+++ b/src/status.c
@@ -34,8 +34,8 @@
     [MR_ERROR_INVALID] = "invalid",
     [MR_ERROR_CONFLICT] = "conflict",
     [MR_ERROR_NOT_FOUND] = "not-found",
-    [MR_ERROR_UNAVAIL] = "unavailable",
-    [MR_ERROR_UNSURE] = "unsure",
+    [MR_ERROR_UNAVAILABLE] = "unavailable",
+    [MR_ERROR_OUTCOME_UNKNOWN] = "unsure",
     [MR_ERROR_LIMIT] = "limit",
     [MR_ERROR_SYSTEM] = "system",
   };
--- a/src/status.h
+++ b/src/status.h
@@ -10,13 +10,13 @@
 typedef enum
 {
   MR_OK = 0,
-  MR_ERROR_INVALID,   /* input breaks a stated rule */
-  MR_ERROR_CONFLICT,  /* a conditional write lost its race */
-  MR_ERROR_NOT_FOUND, /* no such object */
-  MR_ERROR_UNAVAIL,   /* the other side is not reachable now */
-  MR_ERROR_UNSURE,    /* sent, but the outcome is not known */
-  MR_ERROR_LIMIT,     /* a stated bound would be passed */
-  MR_ERROR_SYSTEM,    /* the operating system refused */
+  MR_ERROR_INVALID,         /* input breaks a stated rule */
+  MR_ERROR_CONFLICT,        /* a conditional write lost its race */
+  MR_ERROR_NOT_FOUND,       /* no such object */
+  MR_ERROR_UNAVAILABLE,     /* the other side is not reachable now */
+  MR_ERROR_OUTCOME_UNKNOWN, /* sent, but the outcome is not known */
+  MR_ERROR_LIMIT,           /* a stated bound would be passed */
+  MR_ERROR_SYSTEM,          /* the operating system refused */
 } MrStatus;
 
 /* Sets the thread's message and returns @status, to be used as
