--- a/src/stream.c
+++ b/src/stream.c
@@ -32,7 +32,7 @@
 {
   EntryType type;
   MrLoop *loop;
-  MrStreamHost *host; /* NULL once closed */
+  MrStreamHandler *host; /* NULL once closed */
   struct lws *wsi;
   int fd;
   gboolean connecting;
@@ -105,7 +105,7 @@
 }
 
 MrStream *
-mr_stream_connect (MrLoop *loop, MrStreamHost *host, const char *ip, int port)
+mr_stream_connect (MrLoop *loop, MrStreamHandler *host, const char *ip, int port)
 {
   struct sockaddr_in address;
   if (!S_address (ip, port, &address))
@@ -136,19 +136,19 @@
 }
 
 void
-mr_stream_set_host (MrStream *stream, MrStreamHost *host)
+mr_stream_set_handler (MrStream *stream, MrStreamHandler *host)
 {
   stream->host = host;
 }
 
 guint64
-mr_stream_sent (const MrStream *stream)
+mr_stream_sent_bytes (const MrStream *stream)
 {
   return stream->sent;
 }
 
 gsize
-mr_stream_unsent (const MrStream *stream)
+mr_stream_buffered_bytes (const MrStream *stream)
 {
   return stream->out->len;
 }
@@ -164,7 +164,7 @@
 }
 
 gboolean
-mr_stream_was_accepted (const MrStream *stream)
+mr_stream_was_established (const MrStream *stream)
 {
   return stream->accepted;
 }
@@ -197,13 +197,13 @@
 static void
 S_end (MrStream *stream, MrStreamEnd end)
 {
-  MrStreamHost *host = stream->host;
+  MrStreamHandler *host = stream->host;
   if (!host)
     return;
   if (stream->connecting)
     end = MR_STREAM_REFUSED;
   mr_stream_close (stream);
-  host->ended (host, stream, end);
+  host->on_end (host, stream, end);
 }
 
 /* Returns how many bytes the kernel took; -1 if the connection is lost. */
@@ -265,7 +265,7 @@
         }
       stream->connecting = FALSE;
       stream->accepted = TRUE;
-      stream->host->opened (stream->host, stream);
+      stream->host->on_open (stream->host, stream);
     }
   if (!stream->closed)
     S_flush (stream);
@@ -279,9 +279,9 @@
     return;
   ssize_t n = recv (stream->fd, bytes, sizeof bytes, MSG_DONTWAIT);
   if (n > 0)
-    stream->host->received (stream->host, stream, (MrText){ .data = bytes, .len = (size_t) n });
+    stream->host->on_data (stream->host, stream, (MrText){ .data = bytes, .len = (size_t) n });
   else if (n == 0)
-    S_end (stream, MR_STREAM_FINISHED);
+    S_end (stream, MR_STREAM_EOF);
   else if (errno != EAGAIN && errno != EINTR)
     S_end (stream, MR_STREAM_RESET);
 }
--- a/src/stream.h
+++ b/src/stream.h
@@ -11,47 +11,47 @@
 #include "text.h"
 
 typedef struct _MrStream MrStream;
-typedef struct _MrStreamHost MrStreamHost;
+typedef struct _MrStreamHandler MrStreamHandler;
 typedef struct _MrListener MrListener;
 
 typedef enum
 {
-  MR_STREAM_REFUSED,  /* the connection was never made; nothing was sent */
-  MR_STREAM_FINISHED, /* the peer ended its side in order */
+  MR_STREAM_REFUSED, /* the connection was never made; nothing was sent */
+  MR_STREAM_EOF,     /* the peer ended its side in order */
   MR_STREAM_RESET,
 } MrStreamEnd;
 
 /* Vtable; first member of whoever uses the stream. */
-struct _MrStreamHost
+struct _MrStreamHandler
 {
   /* A connection that this process opened stands. */
-  void (*opened) (MrStreamHost *host, MrStream *stream);
+  void (*on_open) (MrStreamHandler *host, MrStream *stream);
   /* @bytes are borrowed. */
-  void (*received) (MrStreamHost *host, MrStream *stream, MrText bytes);
+  void (*on_data) (MrStreamHandler *host, MrStream *stream, MrText bytes);
   /* Last call; the stream is closed and must not be used again. */
-  void (*ended) (MrStreamHost *host, MrStream *stream, MrStreamEnd end);
+  void (*on_end) (MrStreamHandler *host, MrStream *stream, MrStreamEnd end);
 };
 
 /* A connection to a target is made in one round trip and some 6 ms of the target's; one
  * that takes this long meets a dead end. */
-#define MR_CONNECT_WAIT (400 * MR_MS)
+#define MR_CONNECT_TIMEOUT (400 * MR_MS)
 
 /* Starts to connect; NULL with a message if the system refuses at once. */
-MrStream *mr_stream_connect (MrLoop *loop, MrStreamHost *host, const char *ip, int port);
+MrStream *mr_stream_connect (MrLoop *loop, MrStreamHandler *host, const char *ip, int port);
 
 /* Hands over who is called back. */
-void mr_stream_set_host (MrStream *stream, MrStreamHost *host);
+void mr_stream_set_handler (MrStream *stream, MrStreamHandler *host);
 
 /* TRUE if the connection that this process opened has stood, even if it was reset before
  * opened () could be called; to be asked from ended () on as well. */
-gboolean mr_stream_was_accepted (const MrStream *stream);
+gboolean mr_stream_was_established (const MrStream *stream);
 
 /* Writes what the kernel takes and buffers the rest. */
 void mr_stream_write (MrStream *stream, MrText bytes);
 
 /* Bytes that the kernel has taken so far, and that still wait. */
-guint64 mr_stream_sent (const MrStream *stream);
-gsize mr_stream_unsent (const MrStream *stream);
+guint64 mr_stream_sent_bytes (const MrStream *stream);
+gsize mr_stream_buffered_bytes (const MrStream *stream);
 
 /* Round trip to the peer, as the kernel has measured it; 0: not known. */
 MrTime mr_stream_round_trip (const MrStream *stream);
--- a/src/target.c
+++ b/src/target.c
@@ -24,7 +24,7 @@
   state->relative_latency = 1;
   state->cold_permits = MR_COLD_UNLIMITED;
   mr_concurrency_limit_init (&state->limit, target->slots);
-  state->sets = g_ptr_array_new ();
+  state->groups = g_ptr_array_new ();
   state->broken_calls = g_array_new (FALSE, FALSE, sizeof (MrFingerprint));
   g_queue_init (&state->open_calls);
   return state;
@@ -39,7 +39,7 @@
   g_free (state->id);
   g_free (state->ip);
   g_free (state->domain);
-  g_ptr_array_unref (state->sets);
+  g_ptr_array_unref (state->groups);
   g_array_unref (state->broken_calls);
   g_free (state);
 }
--- a/src/target.h
+++ b/src/target.h
@@ -41,7 +41,7 @@
   guint64 shed;               /* calls refused because of load, in total */
   guint64 missing_generation; /* snapshot generation that it reported as missing */
   MrTime missing_until;
-  GPtrArray *sets;      /* target sets that contain it; maintained by the relay */
+  GPtrArray *groups;    /* target sets that contain it; maintained by the relay */
   GArray *broken_calls; /* MrFingerprint of calls broken since its last accepted connection */
 };
 
--- a/src/target_client.c
+++ b/src/target_client.c
@@ -28,7 +28,7 @@
 
 typedef struct
 {
-  MrStreamHost host;
+  MrStreamHandler host;
   MrTargetClient *client;
   MrStream *stream;
   BudgetPool *pool;
@@ -162,7 +162,7 @@
 static MrTime
 S_stated_idle (const MrHttpParser *answer)
 {
-  MrText value = mr_http_parser_find (answer, "Keep-Alive", NULL);
+  MrText value = mr_http_parser_find_field (answer, "Keep-Alive", NULL);
   g_autofree char *copy = mr_text_dup (value);
   const char *seconds = strstr (copy, "timeout=");
   if (!seconds)
@@ -176,7 +176,7 @@
 S_says_not_run (const MrTargetClient *client, const MrHttpParser *answer)
 {
   guint count = 0;
-  mr_http_parser_find (answer, client->dialect->not_run, &count);
+  mr_http_parser_find_field (answer, client->dialect->not_run, &count);
   return count > 0;
 }
 
@@ -211,8 +211,8 @@
     return MR_CALL_MISDIRECTED;
   if (S_says_not_run (c->client, answer))
     return MR_CALL_SHED;
-  mr_http_parser_find (answer, c->client->dialect->signature, &signatures);
-  mr_http_parser_find (answer, "Content-Encoding", &encodings);
+  mr_http_parser_find_field (answer, c->client->dialect->signature, &signatures);
+  mr_http_parser_find_field (answer, "Content-Encoding", &encodings);
   if (status >= SUCCESS_FIRST && status <= SUCCESS_LAST)
     /* A success that the target has not signed, or whose body is not as the
      * target wrote it, is nobody's answer. */
@@ -235,7 +235,7 @@
 S_owner (const Connection *c, const MrHttpParser *answer)
 {
   guint count = 0;
-  MrText echo = mr_http_parser_find (answer, c->client->dialect->request_id, &count);
+  MrText echo = mr_http_parser_find_field (answer, c->client->dialect->request_id, &count);
   if (count == 1)
     return mr_text_equal (echo, mr_text (c->request_id)) ? OWNER_THIS_CALL : OWNER_ANOTHER;
   if (count > 1)
@@ -262,14 +262,14 @@
 {
   MrHttpParser *answer = c->parser;
   c->parser = mr_http_parser_new (MR_HTTP_RESPONSE);
-  mr_http_parser_set_limits (c->parser, (MrHttpLimits){ .body = ANSWER_BYTES_MAX });
+  mr_http_parser_set_limits (c->parser, (MrHttpLimits){ .max_body_bytes = ANSWER_BYTES_MAX });
   MrCallOutcome outcome = S_outcome (c, answer);
   /* A target may answer before it has read the request; what is left of it would
    * be taken for the next one. */
   gboolean keep =
-      mr_http_parser_keep_alive (answer) && rest == 0 && mr_stream_unsent (c->stream) == 0;
+      mr_http_parser_keep_alive (answer) && rest == 0 && mr_stream_buffered_bytes (c->stream) == 0;
   if (rest > 0)
-    c->client->counts.stray++;
+    c->client->counts.stray_byte_closes++;
   c->idle_most = S_stated_idle (answer);
   c->used = TRUE;
   guint64 id = c->call_id;
@@ -285,7 +285,7 @@
     S_make_idle (c);
   else
     S_close (c);
-  host->ended (host, id, outcome, answer);
+  host->call_ended (host, id, outcome, answer);
 }
 
 static void
@@ -294,17 +294,17 @@
   guint64 id = c->call_id;
   MrTargetClientHost *host = c->client->host;
   S_close (c);
-  host->ended (host, id, outcome, NULL);
+  host->call_ended (host, id, outcome, NULL);
 }
 
 static void
-S_received (MrStreamHost *host, MrStream *stream, MrText bytes)
+S_received (MrStreamHandler *host, MrStream *stream, MrText bytes)
 {
   Connection *c = (Connection *) host;
   (void) stream;
   if (c->call_id == 0)
     {
-      c->client->counts.stray++;
+      c->client->counts.stray_byte_closes++;
       S_close (c);
       return;
     }
@@ -332,14 +332,14 @@
           S_break (c, MR_CALL_BROKEN);
           return;
         }
-      c->client->counts.skipped++;
+      c->client->counts.unmatched_responses++;
       mr_http_parser_reset (c->parser);
       mr_http_parser_set_bodiless (c->parser, c->bodiless);
     }
 }
 
 static void
-S_opened (MrStreamHost *host, MrStream *stream)
+S_opened (MrStreamHandler *host, MrStream *stream)
 {
   Connection *c = (Connection *) host;
   c->connecting = FALSE;
@@ -350,7 +350,7 @@
 }
 
 static void
-S_ended (MrStreamHost *host, MrStream *stream, MrStreamEnd end)
+S_ended (MrStreamHandler *host, MrStream *stream, MrStreamEnd end)
 {
   Connection *c = (Connection *) host;
   if (c->call_id == 0)
@@ -358,21 +358,21 @@
       S_connection_free (c);
       return;
     }
-  if (end == MR_STREAM_FINISHED)
+  if (end == MR_STREAM_EOF)
     mr_http_parser_finish (c->parser);
   if (mr_http_parser_state (c->parser) == MR_HTTP_DONE && S_owner (c, c->parser) == OWNER_THIS_CALL)
     {
       S_on_answer (c, 0);
       return;
     }
-  gboolean sent = mr_stream_sent (stream) > c->sent_before;
+  gboolean sent = mr_stream_sent_bytes (stream) > c->sent_before;
   S_break (c, sent ? MR_CALL_BROKEN : MR_CALL_NOT_CONNECTED);
 }
 
-static const MrStreamHost stream_host = {
-  .opened = S_opened,
-  .received = S_received,
-  .ended = S_ended,
+static const MrStreamHandler stream_host = {
+  .on_open = S_opened,
+  .on_data = S_received,
+  .on_end = S_ended,
 };
 
 /* Calls. */
@@ -395,10 +395,10 @@
     }
   c->connecting = TRUE;
   c->parser = mr_http_parser_new (MR_HTTP_RESPONSE);
-  mr_http_parser_set_limits (c->parser, (MrHttpLimits){ .body = ANSWER_BYTES_MAX });
+  mr_http_parser_set_limits (c->parser, (MrHttpLimits){ .max_body_bytes = ANSWER_BYTES_MAX });
   c->all_link.data = c;
   g_queue_push_tail_link (&client->connections, &c->all_link);
-  mr_timers_set (client->timers, &c->timer, now + MR_CONNECT_WAIT);
+  mr_timers_set (client->timers, &c->timer, now + MR_CONNECT_TIMEOUT);
   client->counts.connections++;
   return c;
 }
@@ -434,22 +434,22 @@
       return;
     }
   c->call_id = call->id;
-  c->sent_before = mr_stream_sent (c->stream);
+  c->sent_before = mr_stream_sent_bytes (c->stream);
   g_free (c->request_id);
   c->request_id = mr_text_dup (call->request_id);
   c->bodiless = call->bodiless;
-  c->part = call->part;
+  c->part = call->is_part;
   mr_http_parser_reset (c->parser);
   mr_http_parser_set_bodiless (c->parser, call->bodiless);
   g_hash_table_insert (client->calls, &c->call_id, c);
   if (c->connecting)
-    c->waiting = g_string_new_len (call->bytes.data, (gssize) call->bytes.len);
+    c->waiting = g_string_new_len (call->request.data, (gssize) call->request.len);
   else
-    mr_stream_write (c->stream, call->bytes);
+    mr_stream_write (c->stream, call->request);
 }
 
 void
-mr_target_client_drop (MrTargetClient *client, guint64 id)
+mr_target_client_close_call (MrTargetClient *client, guint64 id)
 {
   Connection *c = g_hash_table_lookup (client->calls, &id);
   if (c)
@@ -457,10 +457,10 @@
 }
 
 gboolean
-mr_target_client_take_back (MrTargetClient *client, guint64 id)
+mr_target_client_withdraw_call (MrTargetClient *client, guint64 id)
 {
   Connection *c = g_hash_table_lookup (client->calls, &id);
-  if (!c || mr_stream_sent (c->stream) > c->sent_before)
+  if (!c || mr_stream_sent_bytes (c->stream) > c->sent_before)
     return FALSE;
   S_close (c);
   return TRUE;
@@ -473,7 +473,7 @@
 }
 
 void
-mr_target_client_renew (MrTargetClient *client, const MrTargetState *target)
+mr_target_client_reconnect (MrTargetClient *client, const MrTargetState *target)
 {
   BudgetPool *pool = S_pool (client, target->id);
   while (!g_queue_is_empty (&pool->idle))
@@ -481,9 +481,9 @@
 }
 
 void
-mr_target_client_forget (MrTargetClient *client, const MrTargetState *target)
+mr_target_client_remove_target (MrTargetClient *client, const MrTargetState *target)
 {
-  mr_target_client_renew (client, target);
+  mr_target_client_reconnect (client, target);
   mr_prober_cancel (client->prober, target->id);
 }
 
@@ -494,7 +494,7 @@
     {
       guint64 id = g_array_index (client->failed, guint64, 0);
       g_array_remove_index (client->failed, 0);
-      client->host->ended (client->host, id, MR_CALL_NOT_CONNECTED, NULL);
+      client->host->call_ended (client->host, id, MR_CALL_NOT_CONNECTED, NULL);
     }
 }
 
@@ -521,6 +521,6 @@
   const MrProberCounts *probes = mr_prober_counts (client->prober);
   MrTargetClientCounts counts = client->counts;
   counts.connections += probes->connections;
-  counts.repeated = probes->repeated;
+  counts.repeated_probes = probes->repeated;
   return counts;
 }
--- a/src/target_codec.c
+++ b/src/target_codec.c
@@ -8,16 +8,16 @@
 };
 
 char *
-mr_target_call_path (const MrCallStart *start, const char *prefix, MrTime now)
+mr_target_call_path (const MrShardCall *start, const char *prefix, MrTime now)
 {
   const MrBatch *batch = start->batch;
   gint64 left_ms = MAX ((batch->deadline - now) / MR_MS, 1);
-  if (batch->order)
+  if (batch->is_order)
     return g_strdup_printf ("/v1/order?id=%s-%" G_GUINT64_FORMAT
                             "&ticket=%s&deadline_ms=%" G_GINT64_FORMAT,
                             prefix, start->id, batch->ticket, left_ms);
   const MrShardMap *map = batch->map;
-  g_autofree char *query = g_uri_escape_string (batch->query->str, NULL, FALSE);
+  g_autofree char *query = g_uri_escape_string (batch->payload->str, NULL, FALSE);
   return g_strdup_printf ("/v1/search?id=%s-%" G_GUINT64_FORMAT
                           "&snapshot=%s&shard=%s&k=%u&deadline_ms=%" G_GINT64_FORMAT "&q=%s",
                           prefix, start->id, map->snapshot, map->shards[start->shard].name,
@@ -33,7 +33,7 @@
   if (id.len <= len + 1 || memcmp (id.data, prefix, len) != 0 || id.data[len] != '-')
     return 0;
   MrText digits = { .data = id.data + len + 1, .len = id.len - len - 1 };
-  return mr_text_to_u64 (digits, &number) ? number : 0;
+  return mr_text_parse_u64 (digits, &number) ? number : 0;
 }
 
 static char *
@@ -55,7 +55,7 @@
   hit->key = g_strdup (key);
   hit->score = json_number_value (score);
   hit->render = S_render;
-  hit->source = json_object_get (item, "data");
+  hit->render_source = json_object_get (item, "data");
   return TRUE;
 }
 
@@ -102,14 +102,14 @@
 }
 
 void
-mr_target_reply_parse (const MrHttpAnswer *answer,
+mr_target_reply_parse (const MrHttpResponse *answer,
                        gboolean order,
                        const char *prefix,
                        MrTargetReply *reply)
 {
   if (answer->outcome != MR_HTTP_OK)
     {
-      bool refused = answer->outcome == MR_HTTP_REFUSED;
+      bool refused = answer->outcome == MR_HTTP_CONNECT_FAILED;
       reply->end.outcome = refused ? MR_CALL_NOT_CONNECTED : MR_CALL_BROKEN;
       return;
     }
--- a/src/target_codec.h
+++ b/src/target_codec.h
@@ -6,16 +6,16 @@
 
 typedef struct
 {
-  MrCallEnd end;
+  MrCallResult end;
   void *parsed; /* what end's texts and hits borrow */
 } MrTargetReply;
 
 /* Path and query string of a call; @prefix: first digits of the incarnation. */
-char *mr_target_call_path (const MrCallStart *start, const char *prefix, MrTime now);
+char *mr_target_call_path (const MrShardCall *start, const char *prefix, MrTime now);
 
 /* Reads a target's answer to a call; anything malformed is MR_CALL_ERROR, for
  * an order MR_CALL_BROKEN, since nothing is known of it then. */
-void mr_target_reply_parse (const MrHttpAnswer *answer,
+void mr_target_reply_parse (const MrHttpResponse *answer,
                             gboolean order,
                             const char *prefix,
                             MrTargetReply *reply);
--- a/src/target_record.c
+++ b/src/target_record.c
@@ -58,12 +58,12 @@
   record->target.connections = record->target.slots;
   record->target.started = S_started (root);
   record->leaving = json_is_true (leaving);
-  record->cold_for = CLAMP (json_integer_value (cold_ms), 0, COLD_MS_MAX) * MR_MS;
+  record->cold_remaining = CLAMP (json_integer_value (cold_ms), 0, COLD_MS_MAX) * MR_MS;
   return MR_OK;
 }
 
 guint64
-mr_target_record_started (MrText json)
+mr_target_record_start_time (MrText json)
 {
   json_t *root = json.len > 0 ? json_loadb (json.data, json.len, 0, NULL) : NULL;
   guint64 started = S_started (root);
@@ -94,13 +94,13 @@
 }
 
 char *
-mr_target_record_write (const MrTargetRecord *record)
+mr_target_record_to_json (const MrTargetRecord *record)
 {
   g_autofree char *address = g_strdup_printf ("%s:%d", record->target.ip, record->target.port);
   json_t *root = json_pack ("{s:s, s:s, s:s, s:I, s:b, s:I, s:I}", "service", record->service,
                             "address", address, "domain", record->target.domain, "slots",
                             (json_int_t) record->target.slots, "leaving", (int) record->leaving,
-                            "cold_ms", (json_int_t) (record->cold_for / MR_MS), "started",
+                            "cold_ms", (json_int_t) (record->cold_remaining / MR_MS), "started",
                             (json_int_t) record->target.started);
   char *text = json_dumps (root, JSON_COMPACT);
   char *copy = g_strdup (text);
--- a/src/target_task.c
+++ b/src/target_task.c
@@ -3,9 +3,9 @@
 #include "dispatch.h"
 #include "http_client.h"
 #include "log.h"
-#include "message.h"
 #include "metrics.h"
 #include "target_codec.h"
+#include "task_message.h"
 #include "wire.h"
 
 enum
@@ -57,7 +57,7 @@
 
 struct _MrTargetTask
 {
-  MrLoopHost loop_host;
+  MrLoopHandler loop_host;
   MrDispatchHost dispatch_host;
   MrLoop *loop;
   MrHttpClient *client;
@@ -135,7 +135,7 @@
 /* Reports the end of @exchange, which is freed.  FALSE if the answer was not for
  * its call: the connection is out of step and must not be used again. */
 static gboolean
-S_report (Exchange *exchange, MrCallEnd *end)
+S_report (Exchange *exchange, MrCallResult *end)
 {
   MrTargetTask *task = exchange->task;
   end->id = exchange->id;
@@ -146,7 +146,7 @@
 }
 
 static gboolean
-S_call_done (void *user, const MrHttpAnswer *answer)
+S_call_done (void *user, const MrHttpResponse *answer)
 {
   Exchange *exchange = user;
   MrTargetReply reply = { 0 };
@@ -160,7 +160,7 @@
  * connection that has just ended a call can't take another yet; they go out in
  * the tick that follows. */
 static void
-S_start_call (MrDispatchHost *host, const MrCallStart *start)
+S_start_call (MrDispatchHost *host, const MrShardCall *start)
 {
   MrTargetTask *task = TASK_OF_DISPATCH_HOST (host);
   Link *link = S_link (task, start->target->key);
@@ -173,11 +173,12 @@
     .give_up_at = MR_NEVER,
     .ip = g_strdup (start->target->ip),
     .port = start->target->port,
-    .order = start->batch->order,
+    .order = start->batch->is_order,
     .path = mr_target_call_path (start, task->prefix, mr_now ()),
   };
   if (exchange->order)
-    exchange->body = g_string_new_len (start->batch->query->str, (gssize) start->batch->query->len);
+    exchange->body =
+        g_string_new_len (start->batch->payload->str, (gssize) start->batch->payload->len);
   g_hash_table_insert (task->exchanges, &exchange->id, exchange);
   g_queue_push_tail (&task->starting, exchange);
 }
@@ -195,10 +196,10 @@
         .method = exchange->order ? "POST" : "GET",
         .ip = exchange->ip,
         .port = exchange->port,
-        .lane = exchange->lane,
+        .connection_slot = exchange->lane,
         .path = exchange->path,
         .body = exchange->body ? mr_text_of (exchange->body) : (MrText){ 0 },
-        .done = S_call_done,
+        .on_response = S_call_done,
         .user = exchange,
       };
       exchange->call = mr_http_client_call (task->client, &info, &maybe_sent);
@@ -208,7 +209,7 @@
       exchange->link->busy[exchange->lane] = TRUE;
       return;
     }
-  MrCallEnd end = { .outcome = maybe_sent ? MR_CALL_BROKEN : MR_CALL_NOT_CONNECTED };
+  MrCallResult end = { .outcome = maybe_sent ? MR_CALL_BROKEN : MR_CALL_NOT_CONNECTED };
   exchange->lane = LANES;
   S_report (exchange, &end);
 }
@@ -228,7 +229,7 @@
 }
 
 static gboolean
-S_errand_done (void *user, const MrHttpAnswer *answer)
+S_errand_done (void *user, const MrHttpResponse *answer)
 {
   S_end_errand (user, answer->outcome == MR_HTTP_OK && answer->status == 200);
   return TRUE;
@@ -252,10 +253,10 @@
     .method = "GET",
     .ip = errand->ip,
     .port = errand->port,
-    .lane = errand->lane,
-    .fresh = errand->probe,
+    .connection_slot = errand->lane,
+    .new_connection = errand->probe,
     .path = errand->path,
-    .done = S_errand_done,
+    .on_response = S_errand_done,
     .user = errand,
   };
   errand->call = mr_http_client_call (task->client, &info, NULL);
@@ -339,14 +340,14 @@
       mr_partial_free (partial);
       return;
     }
-  gboolean last = partial->kind != MR_PARTIAL_WORKING;
+  gboolean last = partial->kind != MR_PARTIAL_IN_PROGRESS;
   partial->batch_id = origin->batch_id;
   if (origin->root[0] == '\0')
     mr_mailbox_post (task->entry, &mr_partial_message_new (partial, "")->base);
   else
     {
       GString *bytes = mr_wire_partial (task->name, origin->incarnation, partial);
-      mr_mailbox_post (task->control, &mr_send_message_new (origin->root, bytes)->base);
+      mr_mailbox_post (task->control, &mr_peer_send_message_new (origin->root, bytes)->base);
       mr_partial_free (partial);
     }
   if (last)
@@ -384,7 +385,7 @@
 }
 
 static void
-S_on_forget (MrTargetTask *task, const MrForgetMessage *message)
+S_on_forget (MrTargetTask *task, const MrCancelBatchMessage *message)
 {
   GHashTableIter iter;
   gpointer key = NULL;
@@ -397,7 +398,7 @@
           origin->incarnation != message->origin.incarnation ||
           !g_str_equal (origin->root, message->origin.root))
         continue;
-      mr_dispatch_forget (task->dispatch, mr_now (), *(guint64 *) key);
+      mr_dispatch_abandon_batch (task->dispatch, mr_now (), *(guint64 *) key);
       g_hash_table_iter_remove (&iter);
       return;
     }
@@ -414,13 +415,13 @@
   while (g_hash_table_iter_next (&iter, &key, NULL))
     if (!g_hash_table_contains (view->leaving_targets, key))
       {
-        mr_dispatch_target_leaving (task->dispatch, now, key, false);
+        mr_dispatch_set_target_leaving (task->dispatch, now, key, false);
         g_hash_table_iter_remove (&iter);
       }
   g_hash_table_iter_init (&iter, view->leaving_targets);
   while (g_hash_table_iter_next (&iter, &key, NULL))
     if (g_hash_table_add (task->leaving, g_strdup (key)))
-      mr_dispatch_target_leaving (task->dispatch, now, key, true);
+      mr_dispatch_set_target_leaving (task->dispatch, now, key, true);
 }
 
 static void
@@ -446,18 +447,18 @@
   GString *text = g_string_new ("{\"targets\":[");
   mr_dispatch_foreach_target (task->dispatch, S_add_target_report, text);
   g_string_append (text, "]}\n");
-  mr_mailbox_post (task->entry, &mr_report_message_new (message->request, text)->base);
+  mr_mailbox_post (task->entry, &mr_report_message_new (message->request_id, text)->base);
 }
 
 static void
 S_on_evidence (MrTargetTask *task, const MrEvidenceMessage *message)
 {
-  mr_dispatch_evidence (task->dispatch, mr_now (), message->fingerprint,
-                        message->forget ? NULL : &message->evidence);
+  mr_dispatch_merge_evidence (task->dispatch, mr_now (), message->fingerprint,
+                              message->forget ? NULL : &message->evidence);
 }
 
 static void
-S_on_message (MrLoopHost *host, MrMessage *message)
+S_on_message (MrLoopHandler *host, MrMessage *message)
 {
   MrTargetTask *task = (MrTargetTask *) host;
   switch (message->type)
@@ -465,8 +466,8 @@
     case MR_MESSAGE_SUBMIT:
       S_on_submit (task, (MrSubmitMessage *) message);
       break;
-    case MR_MESSAGE_FORGET:
-      S_on_forget (task, (MrForgetMessage *) message);
+    case MR_MESSAGE_CANCEL_BATCH:
+      S_on_forget (task, (MrCancelBatchMessage *) message);
       break;
     case MR_MESSAGE_VIEW:
       S_on_view (task, ((MrViewMessage *) message)->view);
@@ -510,7 +511,7 @@
   for (guint i = 0; i < overdue->len; i++)
     {
       Exchange *exchange = g_ptr_array_index (overdue, i);
-      MrCallEnd end = { .outcome = exchange->call ? MR_CALL_SILENT : MR_CALL_CANCELLED };
+      MrCallResult end = { .outcome = exchange->call ? MR_CALL_SILENT : MR_CALL_CANCELLED };
       if (exchange->call)
         {
           mr_http_client_abort (exchange->call);
@@ -542,7 +543,7 @@
 }
 
 static MrTime
-S_on_tick (MrLoopHost *host, MrTime now)
+S_on_tick (MrLoopHandler *host, MrTime now)
 {
   MrTargetTask *task = (MrTargetTask *) host;
   MrTime overdue = S_close_overdue (task, now);
@@ -550,7 +551,7 @@
   S_send_calls (task);
   MrTime errands = S_tick_errands (task, now);
   mr_metrics_set_dispatch (mr_dispatch_counts (task->dispatch));
-  mr_metrics_set_open_batches (mr_dispatch_batches (task->dispatch));
+  mr_metrics_set_open_batches (mr_dispatch_batch_count (task->dispatch));
   if (!g_queue_is_empty (&task->starting))
     return now;
   return MIN (next, MIN (overdue, errands));
@@ -560,14 +561,14 @@
 mr_target_task_new (const MrTargetTaskInfo *info)
 {
   MrTargetTask *task = g_new0 (MrTargetTask, 1);
-  task->loop_host = (MrLoopHost){ .on_message = S_on_message, .on_tick = S_on_tick };
+  task->loop_host = (MrLoopHandler){ .on_message = S_on_message, .on_tick = S_on_tick };
   task->dispatch_host = (MrDispatchHost){
     .start_call = S_start_call,
     .cancel_call = S_cancel_call,
     .probe = S_probe,
     .reconnect = S_renew,
-    .done = S_done,
-    .evidence = S_evidence,
+    .deliver_partial = S_done,
+    .publish_evidence = S_evidence,
   };
   task->loop = mr_loop_new (&task->loop_host, info->max_connections);
   if (!task->loop)
--- a/src/message.c
+++ b/src/task_message.c
@@ -1,4 +1,4 @@
-#include "message.h"
+#include "task_message.h"
 
 /* Allocates a message struct of @size with its type and free function set. */
 static gpointer
@@ -72,10 +72,10 @@
   return message;
 }
 
-MrForgetMessage *
-mr_forget_message_new (const MrOrigin *origin)
+MrCancelBatchMessage *
+mr_cancel_batch_message_new (const MrOrigin *origin)
 {
-  MrForgetMessage *message = S_new (sizeof *message, MR_MESSAGE_FORGET, S_free_plain);
+  MrCancelBatchMessage *message = S_new (sizeof *message, MR_MESSAGE_CANCEL_BATCH, S_free_plain);
   message->origin = *origin;
   return message;
 }
@@ -99,14 +99,14 @@
 static void
 S_free_send (MrMessage *message)
 {
-  S_free_string (((MrSendMessage *) message)->bytes);
+  S_free_string (((MrPeerSendMessage *) message)->bytes);
   g_free (message);
 }
 
-MrSendMessage *
-mr_send_message_new (const char *to, GString *bytes)
+MrPeerSendMessage *
+mr_peer_send_message_new (const char *to, GString *bytes)
 {
-  MrSendMessage *message = S_new (sizeof *message, MR_MESSAGE_SEND, S_free_send);
+  MrPeerSendMessage *message = S_new (sizeof *message, MR_MESSAGE_PEER_SEND, S_free_send);
   g_strlcpy (message->to, to, sizeof message->to);
   message->bytes = bytes;
   return message;
@@ -140,10 +140,10 @@
   return S_new (sizeof (MrOrderResultMessage), MR_MESSAGE_ORDER_RESULT, S_free_order_result);
 }
 
-MrSelfMessage *
-mr_self_message_new (MrMemberState state, gboolean busy)
+MrLocalStateMessage *
+mr_local_state_message_new (MrMemberState state, gboolean busy)
 {
-  MrSelfMessage *message = S_new (sizeof *message, MR_MESSAGE_SELF, S_free_plain);
+  MrLocalStateMessage *message = S_new (sizeof *message, MR_MESSAGE_LOCAL_STATE, S_free_plain);
   message->state = state;
   message->busy = busy;
   return message;
@@ -218,7 +218,7 @@
 mr_report_message_new (guint64 request, GString *text)
 {
   MrReportMessage *message = S_new (sizeof *message, MR_MESSAGE_REPORT, S_free_report);
-  message->request = request;
+  message->request_id = request;
   message->text = text;
   return message;
 }
--- a/src/message.h
+++ b/src/task_message.h
@@ -18,12 +18,12 @@
   MR_MESSAGE_VIEW,
   MR_MESSAGE_CHANGES,
   MR_MESSAGE_SUBMIT,
-  MR_MESSAGE_FORGET,
+  MR_MESSAGE_CANCEL_BATCH,
   MR_MESSAGE_PARTIAL,
-  MR_MESSAGE_SEND,
+  MR_MESSAGE_PEER_SEND,
   MR_MESSAGE_ORDER,
   MR_MESSAGE_ORDER_RESULT,
-  MR_MESSAGE_SELF,
+  MR_MESSAGE_LOCAL_STATE,
   MR_MESSAGE_PLATFORM_REQUEST,
   MR_MESSAGE_PLATFORM_RESULT,
   MR_MESSAGE_REPORT,
@@ -66,7 +66,7 @@
 {
   MrMessage base;
   MrOrigin origin;
-} MrForgetMessage;
+} MrCancelBatchMessage;
 
 /* Targets or control to entry. */
 typedef struct
@@ -82,7 +82,7 @@
   MrMessage base;
   char to[MR_NAME_MAX + 1];
   GString *bytes;
-} MrSendMessage;
+} MrPeerSendMessage;
 
 /* Control to entry: another daemon's caller presents a ticket of ours. */
 typedef struct
@@ -90,7 +90,7 @@
   MrMessage base;
   char from[MR_NAME_MAX + 1];
   guint64 incarnation;
-  guint64 request;
+  guint64 request_id;
   char service[MR_NAME_MAX + 1];
   char *ticket;
   gint64 remaining_ms;
@@ -100,7 +100,7 @@
 typedef struct
 {
   MrMessage base;
-  guint64 request;
+  guint64 request_id;
   MrResult result;
   gint64 retry_after_ms;
   GString *body;
@@ -113,14 +113,14 @@
   MrMemberState state;
   gboolean busy;
   guint32 load; /* thousandths of a core */
-} MrSelfMessage;
+} MrLocalStateMessage;
 
 typedef enum
 {
   MR_PLATFORM_LIST, /* objects of a kind changed since a revision */
   MR_PLATFORM_READ,
   MR_PLATFORM_WRITE,
-  MR_PLATFORM_VMS,
+  MR_PLATFORM_LIST_VMS,
 } MrPlatformAction;
 
 /* Control to platform. */
@@ -130,11 +130,11 @@
   MrPlatformAction action;
   char kind[24];
   char name[MR_NAME_MAX + 1];
-  guint64 since;               /* of LIST; 0: everything */
-  char after[MR_NAME_MAX + 1]; /* of LIST: names that follow this one */
-  guint wait_ms;               /* of LIST; over 0 makes it a watch */
-  guint call;                  /* of LIST and VMS: its number among those of its watch */
-  guint64 expected;            /* of WRITE */
+  guint64 since_revision;           /* of LIST; 0: everything */
+  char after_name[MR_NAME_MAX + 1]; /* of LIST: names that follow this one */
+  guint wait_ms;                    /* of LIST; over 0 makes it a watch */
+  guint watch_call;                 /* of LIST and VMS: its number among those of its watch */
+  guint64 expected_version;         /* of WRITE */
   GString *body;
 } MrPlatformRequest;
 
@@ -161,10 +161,10 @@
   MrPlatformRequest *request;
   int status; /* MrStatus */
   guint64 revision;
-  guint64 version;         /* of a write */
-  guint64 removed_version; /* of LIST: above that of all it names, below any later one */
-  gboolean more;           /* of LIST: names follow the last one */
-  gboolean expired;        /* of LIST: the changes since then are no longer known */
+  guint64 version;          /* of a write */
+  guint64 removed_version;  /* of LIST: above that of all it names, below any later one */
+  gboolean truncated;       /* of LIST: names follow the last one */
+  gboolean history_expired; /* of LIST: the changes since then are no longer known */
   GPtrArray *objects;
   GArray *vms; /* MrPlatformVm */
 } MrPlatformResult;
@@ -182,7 +182,7 @@
 typedef struct
 {
   MrMessage base;
-  guint64 request;
+  guint64 request_id;
   GString *text;
 } MrReportMessage;
 
@@ -190,12 +190,12 @@
 /* Takes both; either may be NULL. */
 MrChangesMessage *mr_changes_message_new (GPtrArray *targets, GArray *members);
 MrSubmitMessage *mr_submit_message_new (MrBatch *batch, const MrOrigin *origin);
-MrForgetMessage *mr_forget_message_new (const MrOrigin *origin);
+MrCancelBatchMessage *mr_cancel_batch_message_new (const MrOrigin *origin);
 MrPartialMessage *mr_partial_message_new (MrPartial *partial, const char *from);
-MrSendMessage *mr_send_message_new (const char *to, GString *bytes);
+MrPeerSendMessage *mr_peer_send_message_new (const char *to, GString *bytes);
 MrOrderMessage *mr_order_message_new (void);
 MrOrderResultMessage *mr_order_result_message_new (void);
-MrSelfMessage *mr_self_message_new (MrMemberState state, gboolean busy);
+MrLocalStateMessage *mr_local_state_message_new (MrMemberState state, gboolean busy);
 MrPlatformRequest *
 mr_platform_request_new (MrPlatformAction action, const char *kind, const char *name);
 /* Takes @request. */
--- a/src/text.c
+++ b/src/text.c
@@ -6,7 +6,7 @@
 };
 
 bool
-mr_text_to_u64 (MrText text, guint64 *value)
+mr_text_parse_u64 (MrText text, guint64 *value)
 {
   char digits[U64_DIGITS + 1];
   if (text.len == 0 || text.len > U64_DIGITS)
--- a/src/text.h
+++ b/src/text.h
@@ -44,4 +44,4 @@
 
 /* Parses a decimal number that fills the whole text.  False on anything else,
  * overflow included; @value is then left alone. */
-bool mr_text_to_u64 (MrText text, guint64 *value);
+bool mr_text_parse_u64 (MrText text, guint64 *value);
--- a/src/ticket.h
+++ b/src/ticket.h
@@ -13,14 +13,14 @@
 
 enum
 {
-  MR_TICKET_MAX = 159, /* characters */
-  MR_INCARNATION_TEXT = 32,
+  MR_TICKET_MAX_LENGTH = 159, /* characters */
+  MR_INCARNATION_HEX_DIGITS = 32,
 };
 
 typedef struct
 {
   char daemon[MR_NAME_MAX + 1];
-  char incarnation[MR_INCARNATION_TEXT + 1];
+  char incarnation[MR_INCARNATION_HEX_DIGITS + 1];
   guint64 sequence;
   guint64 issued_ms; /* on the issuer's monotonic clock, since its start */
 } MrTicket;
@@ -33,7 +33,7 @@
 const char *mr_ticket_issuer_incarnation (const MrTicketIssuer *issuer);
 
 /* Writes a new ticket's text. */
-void mr_ticket_issue (MrTicketIssuer *issuer, MrTime now, char text[MR_TICKET_MAX + 1]);
+void mr_ticket_issue (MrTicketIssuer *issuer, MrTime now, char text[MR_TICKET_MAX_LENGTH + 1]);
 
 /* Reads the form only. */
 MrStatus mr_ticket_parse (MrText text, MrTicket *ticket);
--- a/src/wire.c
+++ b/src/wire.c
@@ -50,7 +50,7 @@
 static void
 S_pack_member (msgpack_packer *p, const MrMember *member)
 {
-  msgpack_pack_array (p, MR_WIRE_MEMBER_FIELDS);
+  msgpack_pack_array (p, MR_WIRE_MEMBER_FIELD_COUNT);
   S_pack_string (p, member->name);
   msgpack_pack_uint64 (p, member->incarnation);
   S_pack_string (p, member->ip);
@@ -87,7 +87,7 @@
 }
 
 static void
-S_pack_news (msgpack_packer *p, const MrNews *news, guint count)
+S_pack_news (msgpack_packer *p, const MrObjectSummary *news, guint count)
 {
   msgpack_pack_array (p, count);
   for (guint i = 0; i < count; i++)
@@ -100,16 +100,16 @@
 }
 
 GString *
-mr_wire_news (const char *sender, const MrNews *news, guint count)
+mr_wire_announce (const char *sender, const MrObjectSummary *news, guint count)
 {
   msgpack_packer p;
-  GString *out = S_begin (&p, MR_WIRE_NEWS, sender, 1);
+  GString *out = S_begin (&p, MR_WIRE_ANNOUNCE, sender, 1);
   S_pack_news (&p, news, count);
   return out;
 }
 
 GString *
-mr_wire_get (const char *sender, const MrNews *news, guint count)
+mr_wire_get (const char *sender, const MrObjectSummary *news, guint count)
 {
   msgpack_packer p;
   GString *out = S_begin (&p, MR_WIRE_GET, sender, 1);
@@ -148,20 +148,25 @@
 }
 
 GString *
-mr_wire_list (const char *sender, MrHashRange range, const MrNews *news, guint count)
+mr_wire_range_summaries (const char *sender,
+                         MrHashRange range,
+                         const MrObjectSummary *news,
+                         guint count)
 {
   msgpack_packer p;
-  GString *out = S_begin (&p, MR_WIRE_LIST, sender, 3);
+  GString *out = S_begin (&p, MR_WIRE_RANGE_SUMMARIES, sender, 3);
   S_pack_range (&p, range);
   S_pack_news (&p, news, count);
   return out;
 }
 
 GString *
-mr_wire_ranges (const char *sender, MrHashRange range, const guint64 digests[MR_HASH_RANGE_PARTS])
+mr_wire_range_digests (const char *sender,
+                       MrHashRange range,
+                       const guint64 digests[MR_HASH_RANGE_PARTS])
 {
   msgpack_packer p;
-  GString *out = S_begin (&p, MR_WIRE_RANGES, sender, 3);
+  GString *out = S_begin (&p, MR_WIRE_RANGE_DIGESTS, sender, 3);
   S_pack_range (&p, range);
   msgpack_pack_array (&p, MR_HASH_RANGE_PARTS);
   for (guint i = 0; i < MR_HASH_RANGE_PARTS; i++)
@@ -193,11 +198,11 @@
   msgpack_pack_int64 (&p, remaining_us);
   msgpack_pack_int (&p, (int) batch->traffic_class);
   msgpack_pack_uint32 (&p, batch->top_k);
-  msgpack_pack_double (&p, batch->policy.extra_calls);
+  msgpack_pack_double (&p, batch->policy.extra_call_ratio);
   msgpack_pack_double (&p, batch->policy.hedge_quantile);
   msgpack_pack_uint32 (&p, batch->policy.target_limit);
-  msgpack_pack_uint32 (&p, batch->policy.owners);
-  S_pack_text (&p, mr_text_of (batch->query));
+  msgpack_pack_uint32 (&p, batch->policy.owner_count);
+  S_pack_text (&p, mr_text_of (batch->payload));
   msgpack_pack_array (&p, batch->shard_count);
   for (guint i = 0; i < batch->shard_count; i++)
     msgpack_pack_uint32 (&p, batch->shards[i]);
@@ -213,12 +218,12 @@
   msgpack_pack_uint64 (&p, root_incarnation);
   msgpack_pack_int (&p, (int) partial->kind);
   msgpack_pack_int64 (&p, partial->retry_after_ms);
-  msgpack_pack_uint32 (&p, partial->calls);
-  msgpack_pack_uint32 (&p, partial->extra);
-  msgpack_pack_uint32 (&p, partial->blame);
-  msgpack_pack_array (&p, partial->covered_count);
-  for (guint i = 0; i < partial->covered_count; i++)
-    msgpack_pack_uint32 (&p, partial->covered[i]);
+  msgpack_pack_uint32 (&p, partial->call_count);
+  msgpack_pack_uint32 (&p, partial->extra_calls);
+  msgpack_pack_uint32 (&p, partial->straggler);
+  msgpack_pack_array (&p, partial->covered_shard_count);
+  for (guint i = 0; i < partial->covered_shard_count; i++)
+    msgpack_pack_uint32 (&p, partial->covered_shards[i]);
   msgpack_pack_array (&p, partial->hit_count);
   for (guint i = 0; i < partial->hit_count; i++)
     {
@@ -232,10 +237,10 @@
 }
 
 GString *
-mr_wire_forget (const char *sender, guint64 root_incarnation, guint64 batch_id)
+mr_wire_cancel_batch (const char *sender, guint64 root_incarnation, guint64 batch_id)
 {
   msgpack_packer p;
-  GString *out = S_begin (&p, MR_WIRE_FORGET, sender, 2);
+  GString *out = S_begin (&p, MR_WIRE_CANCEL_BATCH, sender, 2);
   msgpack_pack_uint64 (&p, root_incarnation);
   msgpack_pack_uint64 (&p, batch_id);
   return out;
@@ -246,7 +251,7 @@
 {
   msgpack_packer p;
   GString *out = S_begin (&p, MR_WIRE_ORDER, sender, 6);
-  msgpack_pack_uint64 (&p, order->request);
+  msgpack_pack_uint64 (&p, order->request_id);
   msgpack_pack_uint64 (&p, order->sender_incarnation);
   S_pack_string (&p, order->service);
   S_pack_string (&p, order->ticket);
@@ -260,7 +265,7 @@
 {
   msgpack_packer p;
   GString *out = S_begin (&p, MR_WIRE_ORDER_RESULT, sender, 5);
-  msgpack_pack_uint64 (&p, result->request);
+  msgpack_pack_uint64 (&p, result->request_id);
   msgpack_pack_uint64 (&p, result->sender_incarnation);
   msgpack_pack_int (&p, (int) result->result);
   msgpack_pack_int64 (&p, result->retry_after_ms);
--- a/src/wire.h
+++ b/src/wire.h
@@ -13,8 +13,8 @@
 enum
 {
   MR_WIRE_VERSION = 4,
-  MR_WIRE_MAX = 4 * 1024 * 1024, /* bytes of a message, decompressed */
-  MR_WIRE_MEMBER_FIELDS = 11,    /* of a member's entry */
+  MR_WIRE_MAX_BYTES = 4 * 1024 * 1024, /* bytes of a message, decompressed */
+  MR_WIRE_MEMBER_FIELD_COUNT = 11,     /* of a member's entry */
 };
 
 /* Beside a heartbeat's kind (1) and what it asks for (2, 4). */
@@ -26,18 +26,18 @@
 typedef enum
 {
   MR_WIRE_HEARTBEAT = 1,
-  MR_WIRE_NEWS = 2,    /* versions of objects that the sender has just taken */
-  MR_WIRE_GET = 3,     /* asks for objects' bodies */
-  MR_WIRE_OBJECTS = 4, /* bodies */
+  MR_WIRE_ANNOUNCE = 2, /* versions of objects that the sender has just taken */
+  MR_WIRE_GET = 3,      /* asks for objects' bodies */
+  MR_WIRE_OBJECTS = 4,  /* bodies */
   MR_WIRE_BATCH = 5,
   MR_WIRE_PARTIAL = 6,
-  MR_WIRE_FORGET = 7, /* a batch whose partial is not needed any more */
-  MR_WIRE_ORDER = 8,  /* to the daemon that issued the ticket */
+  MR_WIRE_CANCEL_BATCH = 7, /* a batch whose partial is not needed any more */
+  MR_WIRE_ORDER = 8,        /* to the daemon that issued the ticket */
   MR_WIRE_ORDER_RESULT = 9,
-  MR_WIRE_LIST = 10,     /* versions of all objects that the sender holds in a range */
-  MR_WIRE_RANGES = 11,   /* digests of the parts of a range */
-  MR_WIRE_MEMBERS = 12,  /* a heartbeat that carries every member */
-  MR_WIRE_DEFLATED = 13, /* one of the others, compressed */
+  MR_WIRE_RANGE_SUMMARIES = 10, /* versions of all objects that the sender holds in a range */
+  MR_WIRE_RANGE_DIGESTS = 11,   /* digests of the parts of a range */
+  MR_WIRE_MEMBERS = 12,         /* a heartbeat that carries every member */
+  MR_WIRE_DEFLATED = 13,        /* one of the others, compressed */
 } MrWireType;
 
 typedef struct
@@ -45,18 +45,18 @@
   MrObjectKind kind;
   char name[MR_NAME_MAX + 1];
   guint64 version;
-} MrNews;
+} MrObjectSummary;
 
 typedef struct
 {
-  MrNews news; /* what and which version */
+  MrObjectSummary summary; /* what and which version */
   MrText body;
 } MrWireObject;
 
 /* An order on its way to the issuer of its ticket. */
 typedef struct
 {
-  guint64 request; /* of the sender */
+  guint64 request_id; /* of the sender */
   guint64 sender_incarnation;
   char service[MR_NAME_MAX + 1];
   char ticket[160];
@@ -66,7 +66,7 @@
 
 typedef struct
 {
-  guint64 request;
+  guint64 request_id;
   guint64 sender_incarnation;
   MrResult result;
   gint64 retry_after_ms;
@@ -81,9 +81,9 @@
   char service[MR_NAME_MAX + 1];
   guint64 generation;
   gint64 remaining_us;
-  MrClass traffic_class;
+  MrTrafficClass traffic_class;
   guint top_k;
-  MrPolicy policy;
+  MrBatchPolicy policy;
   MrText query;
   guint shard_count;
   guint *shards;
@@ -95,9 +95,9 @@
   MrWireType type;
   char sender[MR_NAME_MAX + 1];
   MrHeartbeat heartbeat;
-  guint news_count;
-  MrNews *news;      /* of NEWS and LIST; of GET without versions */
-  MrHashRange range; /* of LIST and RANGES */
+  guint summary_count;
+  MrObjectSummary *summaries; /* of NEWS and LIST; of GET without versions */
+  MrHashRange range;          /* of LIST and RANGES */
   guint64 digests[MR_HASH_RANGE_PARTS];
   guint object_count;
   MrWireObject *objects;
@@ -111,20 +111,24 @@
 } MrWireMessage;
 
 GString *mr_wire_heartbeat (const char *sender, const MrHeartbeat *heartbeat);
-GString *mr_wire_news (const char *sender, const MrNews *news, guint count);
+GString *mr_wire_announce (const char *sender, const MrObjectSummary *news, guint count);
 /* Asks for the newest version of each of @news. */
-GString *mr_wire_get (const char *sender, const MrNews *news, guint count);
+GString *mr_wire_get (const char *sender, const MrObjectSummary *news, guint count);
 GString *mr_wire_objects (const char *sender, const MrObject *const *objects, guint count);
-GString *mr_wire_list (const char *sender, MrHashRange range, const MrNews *news, guint count);
-GString *
-mr_wire_ranges (const char *sender, MrHashRange range, const guint64 digests[MR_HASH_RANGE_PARTS]);
+GString *mr_wire_range_summaries (const char *sender,
+                                  MrHashRange range,
+                                  const MrObjectSummary *news,
+                                  guint count);
+GString *mr_wire_range_digests (const char *sender,
+                                MrHashRange range,
+                                const guint64 digests[MR_HASH_RANGE_PARTS]);
 /* @remaining_us: time left until the batch's deadline. */
 GString *mr_wire_batch (const char *sender,
                         guint64 root_incarnation,
                         const MrBatch *batch,
                         gint64 remaining_us);
 GString *mr_wire_partial (const char *sender, guint64 root_incarnation, const MrPartial *partial);
-GString *mr_wire_forget (const char *sender, guint64 root_incarnation, guint64 batch_id);
+GString *mr_wire_cancel_batch (const char *sender, guint64 root_incarnation, guint64 batch_id);
 GString *mr_wire_order (const char *sender, const MrWireOrder *order);
 GString *mr_wire_order_result (const char *sender, const MrWireOrderResult *result);
 
--- a/src/wire_decode.c
+++ b/src/wire_decode.c
@@ -106,7 +106,7 @@
 static void
 S_read_member (Reader *list, MrMember *member)
 {
-  Reader r = S_array (list, MR_WIRE_MEMBER_FIELDS);
+  Reader r = S_array (list, MR_WIRE_MEMBER_FIELD_COUNT);
   S_string (&r, member->name, sizeof member->name);
   member->incarnation = S_unsigned (&r, G_MAXUINT64);
   S_string (&r, member->ip, sizeof member->ip);
@@ -158,7 +158,7 @@
 }
 
 static void
-S_read_name (Reader *item, MrNews *news)
+S_read_name (Reader *item, MrObjectSummary *news)
 {
   news->kind = S_read_kind (item);
   S_string (item, news->name, sizeof news->name);
@@ -169,11 +169,11 @@
 S_read_named (Reader *r, MrWireMessage *m, gboolean versions)
 {
   Reader list = S_array (r, MR_TARGETS_MAX);
-  m->news = g_new0 (MrNews, list.count + 1);
+  m->summaries = g_new0 (MrObjectSummary, list.count + 1);
   while (!list.bad && list.next < list.count)
     {
       Reader item = S_array (&list, versions ? 3 : 2);
-      MrNews *news = &m->news[m->news_count++];
+      MrObjectSummary *news = &m->summaries[m->summary_count++];
       S_read_name (&item, news);
       if (versions)
         news->version = S_unsigned (&item, G_MAXUINT64);
@@ -203,8 +203,8 @@
     {
       Reader item = S_array (&list, 4);
       MrWireObject *object = &m->objects[m->object_count++];
-      S_read_name (&item, &object->news);
-      object->news.version = S_unsigned (&item, G_MAXUINT64);
+      S_read_name (&item, &object->summary);
+      object->summary.version = S_unsigned (&item, G_MAXUINT64);
       object->body = S_text (&item);
       list.bad = list.bad || item.bad;
     }
@@ -256,12 +256,12 @@
   S_string (r, batch->service, sizeof batch->service);
   batch->generation = S_unsigned (r, G_MAXUINT64);
   batch->remaining_us = (gint64) S_unsigned (r, 60 * MR_SECOND);
-  batch->traffic_class = (MrClass) S_unsigned (r, MR_CLASS_COUNT - 1);
+  batch->traffic_class = (MrTrafficClass) S_unsigned (r, MR_TRAFFIC_CLASS_COUNT - 1);
   batch->top_k = (guint) S_unsigned (r, 1000);
-  batch->policy.extra_calls = S_double (r, 0, 1);
+  batch->policy.extra_call_ratio = S_double (r, 0, 1);
   batch->policy.hedge_quantile = S_double (r, 0, 1);
   batch->policy.target_limit = (guint) S_unsigned (r, 10000);
-  batch->policy.owners = (guint) S_unsigned (r, 64);
+  batch->policy.owner_count = (guint) S_unsigned (r, 64);
   batch->query = S_text (r);
   batch->shards = S_read_indices (r, &batch->shard_count);
 }
@@ -289,13 +289,13 @@
 {
   guint64 id = S_unsigned (r, G_MAXUINT64);
   m->root_incarnation = S_unsigned (r, G_MAXUINT64);
-  MrPartialKind kind = (MrPartialKind) S_unsigned (r, MR_PARTIAL_WORKING);
+  MrPartialKind kind = (MrPartialKind) S_unsigned (r, MR_PARTIAL_IN_PROGRESS);
   MrPartial *partial = m->partial = mr_partial_new (id, kind);
   partial->retry_after_ms = (gint64) S_unsigned (r, RETRY_AFTER_MAX_MS);
-  partial->calls = (guint) S_unsigned (r, G_MAXUINT32);
-  partial->extra = (guint) S_unsigned (r, G_MAXUINT32);
-  partial->blame = (guint) S_unsigned (r, MR_NO_TARGET_INDEX);
-  partial->covered = S_read_indices (r, &partial->covered_count);
+  partial->call_count = (guint) S_unsigned (r, G_MAXUINT32);
+  partial->extra_calls = (guint) S_unsigned (r, G_MAXUINT32);
+  partial->straggler = (guint) S_unsigned (r, MR_NO_TARGET_INDEX);
+  partial->covered_shards = S_read_indices (r, &partial->covered_shard_count);
   S_read_hits (r, partial);
 }
 
@@ -303,7 +303,7 @@
 S_read_order (Reader *r, MrWireMessage *m)
 {
   MrWireOrder *order = &m->order;
-  order->request = S_unsigned (r, G_MAXUINT64);
+  order->request_id = S_unsigned (r, G_MAXUINT64);
   order->sender_incarnation = S_unsigned (r, G_MAXUINT64);
   S_string (r, order->service, sizeof order->service);
   S_string (r, order->ticket, sizeof order->ticket);
@@ -315,7 +315,7 @@
 S_read_order_result (Reader *r, MrWireMessage *m)
 {
   MrWireOrderResult *result = &m->order_result;
-  result->request = S_unsigned (r, G_MAXUINT64);
+  result->request_id = S_unsigned (r, G_MAXUINT64);
   result->sender_incarnation = S_unsigned (r, G_MAXUINT64);
   result->result = (MrResult) S_unsigned (r, 999);
   result->retry_after_ms = (gint64) S_unsigned (r, RETRY_AFTER_MAX_MS);
@@ -333,7 +333,7 @@
 static void
 S_read_deflated (Reader *r, MrWireMessage *m)
 {
-  uLongf len = (uLongf) S_unsigned (r, MR_WIRE_MAX);
+  uLongf len = (uLongf) S_unsigned (r, MR_WIRE_MAX_BYTES);
   MrText deflated = S_text (r);
   if (r->bad || len == 0)
     {
@@ -350,16 +350,16 @@
 
 static void (*const readers[]) (Reader *r, MrWireMessage *m) = {
   [MR_WIRE_HEARTBEAT] = S_read_heartbeat,
-  [MR_WIRE_NEWS] = S_read_news,
+  [MR_WIRE_ANNOUNCE] = S_read_news,
   [MR_WIRE_GET] = S_read_get,
   [MR_WIRE_OBJECTS] = S_read_objects,
   [MR_WIRE_BATCH] = S_read_batch,
   [MR_WIRE_PARTIAL] = S_read_partial,
-  [MR_WIRE_FORGET] = S_read_forget,
+  [MR_WIRE_CANCEL_BATCH] = S_read_forget,
   [MR_WIRE_ORDER] = S_read_order,
   [MR_WIRE_ORDER_RESULT] = S_read_order_result,
-  [MR_WIRE_LIST] = S_read_list,
-  [MR_WIRE_RANGES] = S_read_ranges,
+  [MR_WIRE_RANGE_SUMMARIES] = S_read_list,
+  [MR_WIRE_RANGE_DIGESTS] = S_read_ranges,
   [MR_WIRE_MEMBERS] = S_read_heartbeat,
   [MR_WIRE_DEFLATED] = S_read_deflated,
 };
@@ -492,9 +492,9 @@
 mr_wire_decode (MrText bytes, MrWireMessage *message)
 {
   *message = (MrWireMessage){ 0 };
-  if (bytes.len > MR_WIRE_MAX)
+  if (bytes.len > MR_WIRE_MAX_BYTES)
     return mr_fail (MR_ERROR_LIMIT, "message of %zu bytes, expected at most %d", bytes.len,
-                    MR_WIRE_MAX);
+                    MR_WIRE_MAX_BYTES);
   MrStatus status = S_decode (bytes, message);
   if (status == MR_OK && message->type == MR_WIRE_DEFLATED)
     status = S_decode_inflated (message);
@@ -507,7 +507,7 @@
 mr_wire_message_clear (MrWireMessage *message)
 {
   g_free (message->heartbeat.updates);
-  g_free (message->news);
+  g_free (message->summaries);
   g_free (message->objects);
   if (message->inflated)
     g_string_free (message->inflated, TRUE);
--- a/test/core.hpp
+++ b/test/core.hpp
@@ -11,14 +11,14 @@
 
 extern "C"
 {
-#include "accepted.h"
+#include "accepted_document.h"
 #include "batch.h"
 #include "controller.h"
 #include "document.h"
 #include "log.h"
 #include "membership.h"
 #include "merge.h"
-#include "orders.h"
+#include "order_records.h"
 #include "registry.h"
 #include "replication.h"
 #include "safeguard.h"
@@ -70,7 +70,7 @@
 
 // @count steps of @kinds kinds, the same for the same seed.
 inline std::vector<Command>
-commands_of (guint32 seed, int count, int kinds)
+generate_commands (guint32 seed, int count, int kinds)
 {
   GRand *random = g_rand_new_with_seed (seed);
   std::vector<Command> commands;
--- a/test/platform/prop_store.cpp
+++ b/test/platform/prop_store.cpp
@@ -126,7 +126,7 @@
   record.target.port = 80;
   record.target.slots = 1;
   record.target.started = started;
-  g_autofree char *text = mr_target_record_write (&record);
+  g_autofree char *text = mr_target_record_to_json (&record);
   return text;
 }
 
@@ -163,7 +163,7 @@
   std::string broken;
   guint64 held[2];
   for (int i = 0; i < 2; i++)
-    held[i] = mr_target_record_started (
+    held[i] = mr_target_record_start_time (
         mr_text_of (mr_registry_get (daemons[i], MR_OBJECT_TARGET, "i-1")->body));
   if (std::max (held[0], held[1]) != newest)
     broken = "the newest start is lost";
--- a/test/platform/standin.c
+++ b/test/platform/standin.c
@@ -64,7 +64,7 @@
 
 typedef struct
 {
-  MrStreamHost host;
+  MrStreamHandler host;
   Server *server;
   MrStream *stream;
   MrHttpParser *parser;
@@ -80,7 +80,7 @@
 
 struct Server
 {
-  MrLoopHost host;
+  MrLoopHandler host;
   MrLoop *loop;
   MrTimers *timers;
   const char *id; /* of a searcher; NULL: the store */
@@ -444,8 +444,9 @@
 S_on_searcher_request (Peer *peer, const char *target)
 {
   Server *server = peer->server;
-  MrText expected = mr_http_parser_find (peer->parser, "X-Expect-Instance", NULL);
-  g_autofree char *id = mr_text_dup (mr_http_parser_find (peer->parser, "X-Request-Id", NULL));
+  MrText expected = mr_http_parser_find_field (peer->parser, "X-Expect-Instance", NULL);
+  g_autofree char *id =
+      mr_text_dup (mr_http_parser_find_field (peer->parser, "X-Request-Id", NULL));
   if (g_str_has_prefix (target, "/runs/"))
     {
       g_autofree char *count = g_strdup_printf (
@@ -511,7 +512,7 @@
 }
 
 static void
-S_received (MrStreamHost *host, MrStream *stream, MrText bytes)
+S_received (MrStreamHandler *host, MrStream *stream, MrText bytes)
 {
   Peer *peer = (Peer *) host;
   (void) stream;
@@ -528,7 +529,7 @@
 }
 
 static void
-S_ended (MrStreamHost *host, MrStream *stream, MrStreamEnd end)
+S_ended (MrStreamHandler *host, MrStream *stream, MrStreamEnd end)
 {
   Peer *peer = (Peer *) host;
   (void) stream;
@@ -546,13 +547,13 @@
 {
   Peer *peer = g_new0 (Peer, 1);
   *peer = (Peer){
-    .host = { .received = S_received, .ended = S_ended },
+    .host = { .on_data = S_received, .on_end = S_ended },
     .server = user,
     .stream = stream,
     .parser = mr_http_parser_new (MR_HTTP_REQUEST),
   };
   peer->timer.owner = peer;
-  mr_stream_set_host (stream, &peer->host);
+  mr_stream_set_handler (stream, &peer->host);
 }
 
 static void
@@ -573,7 +574,7 @@
 }
 
 static MrTime
-S_on_tick (MrLoopHost *host, MrTime now)
+S_on_tick (MrLoopHandler *host, MrTime now)
 {
   Server *server = (Server *) host;
   for (MrTimer *timer = mr_timers_pop (server->timers, now); timer;
--- a/test/platform/test_store.c
+++ b/test/platform/test_store.c
@@ -17,7 +17,7 @@
 S_read (const char *kind, guint64 since, int status, const char *body)
 {
   MrPlatformRequest *request = mr_platform_request_new (MR_PLATFORM_LIST, kind, "");
-  request->since = since;
+  request->since_revision = since;
   MrPlatformResult *result = mr_platform_result_new (request, 0);
   mr_adapter_store.decode (result, status, mr_text (body));
   return result;
@@ -269,18 +269,19 @@
   static const Case cases[] = {
     { "list", 200, "{\"items\":[],\"has_more\":false,\"store_revision\":3}", MR_OK, FALSE },
     { "history gone", 410, "", MR_OK, TRUE },
-    { "over the rate", 429, "{}", MR_ERROR_UNAVAIL, FALSE },
-    { "unavailable", 503, "", MR_ERROR_UNAVAIL, FALSE },
-    { "cut", 200, "{\"items\":[", MR_ERROR_UNAVAIL, FALSE },
-    { "no revision", 200, "{}", MR_ERROR_UNAVAIL, FALSE },
-    { "not an object", 200, "[]", MR_ERROR_UNAVAIL, FALSE },
+    { "over the rate", 429, "{}", MR_ERROR_UNAVAILABLE, FALSE },
+    { "unavailable", 503, "", MR_ERROR_UNAVAILABLE, FALSE },
+    { "cut", 200, "{\"items\":[", MR_ERROR_UNAVAILABLE, FALSE },
+    { "no revision", 200, "{}", MR_ERROR_UNAVAILABLE, FALSE },
+    { "not an object", 200, "[]", MR_ERROR_UNAVAILABLE, FALSE },
   };
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       MrPlatformResult *result = S_read ("targets", 1, cases[i].http_status, cases[i].body);
-      if (result->status != (int) cases[i].status || result->expired != cases[i].expired)
-        fail_msg ("%s: status %d, expired %d", cases[i].name, result->status, result->expired);
+      if (result->status != (int) cases[i].status || result->history_expired != cases[i].expired)
+        fail_msg ("%s: status %d, expired %d", cases[i].name, result->status,
+                  result->history_expired);
       mr_message_free (&result->base);
     }
 }
@@ -346,9 +347,9 @@
     {
       MrPlatformCall call = { 0 };
       MrPlatformRequest *request = mr_platform_request_new (MR_PLATFORM_LIST, "targets", "");
-      request->since = cases[i].since;
+      request->since_revision = cases[i].since;
       request->wait_ms = cases[i].since ? 28000 : 0;
-      g_strlcpy (request->after, cases[i].after, sizeof request->after);
+      g_strlcpy (request->after_name, cases[i].after, sizeof request->after_name);
       mr_adapter_store.encode (request, &call);
       assert_string_equal (call.path, cases[i].path);
       g_free (call.path);
--- a/test/prop_cold.cpp
+++ b/test/prop_cold.cpp
@@ -71,7 +71,7 @@
         sender.incarnation = node.self.incarnation;
       }
     MrMemberList *members = mr_membership_list (node.membership);
-    MrEntryPlan plan = mr_entry_plan (node.roster, node.self.name);
+    MrEntryPlan plan = mr_entry_plan_compute (node.roster, node.self.name);
     for (guint i = 0; i < members->count; i++)
       mr_cold_share_on_member (sender.share, fleet->now, &members->members[i]);
     double share = mr_cold_share_update (sender.share, fleet->now, node.roster, &plan);
--- a/test/prop_decoders.cpp
+++ b/test/prop_decoders.cpp
@@ -44,17 +44,17 @@
     for (guint r = 0; r < map->shards[i].replica_count; r++)
       RC_ASSERT (map->shards[i].replicas[r] < map->target_count);
   mr_shard_map_unref (map);
-  MrAccepted accepted = {};
-  if (mr_accepted_parse (text (bytes), &accepted) == MR_OK)
+  MrAcceptedDocument accepted = {};
+  if (mr_accepted_document_parse (text (bytes), &accepted) == MR_OK)
     RC_ASSERT (accepted.deleted || accepted.document != nullptr);
-  mr_accepted_clear (&accepted);
+  mr_accepted_document_clear (&accepted);
   MrTicket ticket = {};
   if (mr_ticket_parse (text (bytes), &ticket) == MR_OK)
-    RC_ASSERT (strlen (ticket.incarnation) == (size_t) MR_INCARNATION_TEXT);
+    RC_ASSERT (strlen (ticket.incarnation) == (size_t) MR_INCARNATION_HEX_DIGITS);
   for (bool order : { false, true })
     for (int status : { 200, 503 })
       {
-        MrHttpAnswer answer = { MR_HTTP_OK, status, text (bytes) };
+        MrHttpResponse answer = { MR_HTTP_OK, status, text (bytes) };
         MrTargetReply reply = {};
         mr_target_reply_parse (&answer, order, "0123abcd", &reply);
         // Only the target's own word makes an order "not run".
--- a/test/prop_documents.cpp
+++ b/test/prop_documents.cpp
@@ -128,18 +128,18 @@
 {
   Daemon *d = of_spread (host);
   World *w = d->world;
-  MrAccepted accepted;
-  if (mr_accepted_parse (mr_text_of (object->body), &accepted) != MR_OK)
+  MrAcceptedDocument accepted;
+  if (mr_accepted_document_parse (mr_text_of (object->body), &accepted) != MR_OK)
     {
       w->broken = "an unreadable object was accepted";
       return;
     }
-  if (accepted.source < d->in_force)
+  if (accepted.document_version < d->in_force)
     w->broken = "the document in force reverted at a daemon";
-  if (!w->valid[accepted.source])
+  if (!w->valid[accepted.document_version])
     w->broken = "an invalid document came into force";
-  d->in_force = accepted.source;
-  mr_accepted_clear (&accepted);
+  d->in_force = accepted.document_version;
+  mr_accepted_document_clear (&accepted);
   mr_controller_object_read (d->controller, w->now, "accepted", mr_text (NAME), object->version,
                              mr_text_of (object->body));
 }
@@ -186,7 +186,7 @@
 World::write (const std::string &kind, guint64 expected, const std::string &body)
 {
   if (down)
-    return { false, kind, MR_ERROR_UNAVAIL, 0, "" };
+    return { false, kind, MR_ERROR_UNAVAILABLE, 0, "" };
   Stored &s = store[kind];
   if (expected != MR_VERSION_ANY && expected != s.version)
     return { false, kind, MR_ERROR_CONFLICT, 0, "" };
@@ -196,17 +196,17 @@
   s.body = body;
   if (kind == "accepted")
     {
-      MrAccepted accepted;
-      mr_accepted_parse (mr_text (body.c_str ()), &accepted);
-      if (accepted.source < accepted_source)
+      MrAcceptedDocument accepted;
+      mr_accepted_document_parse (mr_text (body.c_str ()), &accepted);
+      if (accepted.document_version < accepted_source)
         broken = "the accepted document reverted at the platform";
-      accepted_source = accepted.source;
-      mr_accepted_clear (&accepted);
+      accepted_source = accepted.document_version;
+      mr_accepted_document_clear (&accepted);
     }
   if (lose > 0)
     {
       lose--;
-      return { false, kind, MR_ERROR_UNSURE, 0, "" };
+      return { false, kind, MR_ERROR_OUTCOME_UNKNOWN, 0, "" };
     }
   return { false, kind, MR_OK, s.version, "" };
 }
@@ -215,7 +215,7 @@
 World::read (const std::string &kind)
 {
   if (down)
-    return { false, kind, MR_ERROR_UNAVAIL, 0, "" };
+    return { false, kind, MR_ERROR_UNAVAILABLE, 0, "" };
   Stored &s = store[kind];
   bool old = stale && s.old_version > 0;
   return { true, kind, MR_OK, old ? s.old_version : s.version, old ? s.old_body : s.body };
@@ -376,7 +376,7 @@
 std::string
 run_seed (guint32 seed)
 {
-  return run (commands_of (seed, 80, 11));
+  return run (generate_commands (seed, 80, 11));
 }
 
 } // namespace
--- a/test/prop_orders.cpp
+++ b/test/prop_orders.cpp
@@ -60,7 +60,7 @@
   int index = 0;
   bool frozen = false;
   std::string name;
-  MrOrders *orders = nullptr;
+  MrOrderRecords *orders = nullptr;
   MrDispatch *dispatch = nullptr;
   std::vector<Pending> pending;
   std::vector<Message> inbox;
@@ -93,7 +93,7 @@
 };
 
 void
-start_call (MrDispatchHost *host, const MrCallStart *start)
+start_call (MrDispatchHost *host, const MrShardCall *start)
 {
   auto *d = reinterpret_cast<Daemon *> (host);
   World *w = d->world;
@@ -185,9 +185,9 @@
   births++;
   for (int i = 0; i < 32; i++)
     random[i] = (guint8) (births * 37 + i);
-  MrOrdersLimits limits = { LIFE, RECORD_LIFE, 50 };
+  MrOrderRecordLimits limits = { LIFE, RECORD_LIFE, 50 };
   d.host = { start_call, cancel_call, probe, renew, done };
-  d.orders = mr_orders_new (mr_ticket_issuer_new (d.name.c_str (), now, random), &limits);
+  d.orders = mr_order_records_new (mr_ticket_issuer_new (d.name.c_str (), now, random), &limits);
   MrDispatchInfo info = {};
   info.seed = births;
   d.dispatch = mr_dispatch_new (&d.host, &info);
@@ -204,7 +204,7 @@
   d.inbox.clear ();
   d.dispatched.clear ();
   mr_dispatch_free (d.dispatch);
-  mr_orders_free (d.orders);
+  mr_order_records_free (d.orders);
 }
 
 // The checker: what a caller is told against what ran.
@@ -222,17 +222,17 @@
 bool
 World::decide (Daemon &d, const std::string &ticket)
 {
-  MrOrdersVerdict v = mr_orders_begin (d.orders, now, mr_text (ticket.c_str ()), mr_text ("shop"),
-                                       mr_text ("order"));
-  if (v.decision == MR_ORDERS_FORWARD)
+  MrOrderDecision v = mr_order_records_begin (d.orders, now, mr_text (ticket.c_str ()),
+                                              mr_text ("shop"), mr_text ("order"));
+  if (v.action == MR_ORDER_ACTION_FORWARD)
     return false;
-  if (v.decision == MR_ORDERS_ANSWER)
+  if (v.action == MR_ORDER_ACTION_ANSWER)
     {
       answer (ticket, v.result);
       return true;
     }
   MrBatch *batch = mr_batch_new (++batches, map, 1);
-  batch->order = TRUE;
+  batch->is_order = TRUE;
   batch->top_k = 1;
   batch->deadline = now + DEADLINE;
   batch->shards[0] = (guint) (v.ticket.sequence % TARGETS);
@@ -259,9 +259,9 @@
 {
   if (partial->kind != MR_PARTIAL_ANSWER)
     return MR_RESULT_DEADLINE;
-  if (partial->outcome == MR_ORDER_DONE)
+  if (partial->order_outcome == MR_ORDER_DONE)
     return MR_RESULT_DONE;
-  return partial->outcome == MR_ORDER_UNKNOWN ? MR_RESULT_UNKNOWN : MR_RESULT_NO_TARGET;
+  return partial->order_outcome == MR_ORDER_UNKNOWN ? MR_RESULT_UNKNOWN : MR_RESULT_NO_TARGET;
 }
 
 // Everything that has reached a running daemon is worked on.
@@ -278,7 +278,7 @@
       d.pending.clear ();
       for (auto &p : pending)
         {
-          MrCallEnd end = {};
+          MrCallResult end = {};
           end.id = p.id;
           end.outcome = p.outcome;
           end.echoed_id = p.id;
@@ -291,9 +291,10 @@
       for (auto *partial : partials)
         {
           auto found = d.dispatched.find (partial->batch_id);
-          if (partial->kind != MR_PARTIAL_WORKING && found != d.dispatched.end ())
+          if (partial->kind != MR_PARTIAL_IN_PROGRESS && found != d.dispatched.end ())
             {
-              mr_orders_end (d.orders, found->second.first, result_of (partial), mr_text ("{}"));
+              mr_order_records_end (d.orders, found->second.first, result_of (partial),
+                                    mr_text ("{}"));
               answer (found->second.second, result_of (partial));
               d.dispatched.erase (found);
             }
@@ -322,13 +323,13 @@
 World::apply (const Command &c)
 {
   Daemon &d = daemons[c.a % DAEMONS];
-  char text[MR_TICKET_MAX + 1];
+  char text[MR_TICKET_MAX_LENGTH + 1];
   switch (c.kind)
     {
     case 0:
       if (!d.frozen)
         {
-          mr_ticket_issue (mr_orders_issuer (d.orders), now, text);
+          mr_ticket_issue (mr_order_records_issuer (d.orders), now, text);
           tickets.push_back (text);
         }
       break;
@@ -376,7 +377,7 @@
 std::string
 run_seed (guint32 seed)
 {
-  return run (commands_of (seed, 60, 9));
+  return run (generate_commands (seed, 60, 9));
 }
 
 } // namespace
--- a/test/prop_relay.cpp
+++ b/test/prop_relay.cpp
@@ -274,7 +274,7 @@
                       violates (random_plan, [] (const SimResult &r) { return r.ran_twice; })) &&
        ok;
   ok = fails_without (
-           "retry budget", MR_GUARD_RETRY_BUDGET, 400,
+           "retry budget", MR_GUARD_RESEND_BUDGET, 400,
            violates (outage_plan, [] (const SimResult &r) { return r.max_budget_excess; })) &&
        ok;
   ok = fails_without ("quarantine", MR_GUARD_QUARANTINE, 50,
--- a/test/prop_search.cpp
+++ b/test/prop_search.cpp
@@ -1,5 +1,5 @@
 // The promises of a search, over generated schedules of replies, faults and
-// version changes, against a naive reference merge (bench/world.c):
+// version changes, against a naive reference merge (bench/search_sim.c):
 //   a single snapshot, truthful coverage, the caller's own and whole answer,
 //   "not run" only if nothing was sent, no new work for leaving targets.
 // Each property is then shown to fail with its safeguard switched off.
@@ -10,7 +10,7 @@
 
 extern "C"
 {
-#include "world.h"
+#include "search_sim.h"
 }
 
 namespace
--- a/test/prop_wire.cpp
+++ b/test/prop_wire.cpp
@@ -49,10 +49,10 @@
 partial_bytes (guint hits)
 {
   MrPartial *p = mr_partial_new (99, MR_PARTIAL_ANSWER);
-  p->covered = g_new (guint, 2);
-  p->covered[0] = 0;
-  p->covered[1] = 1;
-  p->covered_count = 2;
+  p->covered_shards = g_new (guint, 2);
+  p->covered_shards[0] = 0;
+  p->covered_shards[1] = 1;
+  p->covered_shard_count = 2;
   p->hits = g_new0 (MrHit, hits + 1);
   for (p->hit_count = 0; p->hit_count < hits; p->hit_count++)
     {
@@ -71,12 +71,12 @@
 {
   MrHeartbeat h = {};
   MrMember updates[3] = { member (n), member (n + 1), member (n + 2) };
-  MrNews news[2] = {};
+  MrObjectSummary news[2] = {};
   news[0].kind = MR_OBJECT_ACCEPTED;
   news[0].version = (guint64) n;
   news[1].kind = MR_OBJECT_VM;
   constexpr guint MANY = 60; // enough that it pays to compress them
-  std::vector<MrNews> many (MANY, news[0]);
+  std::vector<MrObjectSummary> many (MANY, news[0]);
   MrHashRange range = { (guint64) n << 40, 10 };
   guint64 digests[MR_HASH_RANGE_PARTS] = { (guint64) n, 1 };
   char name[] = "shop";
@@ -97,7 +97,7 @@
   MrShardMap *m = map ();
   MrBatch *batch = mr_batch_new ((guint64) n, m, 2);
   batch->shards[1] = 1;
-  g_string_assign (batch->query, "ripe round");
+  g_string_assign (batch->payload, "ripe round");
   std::string out;
   switch (kind % KINDS)
     {
@@ -109,7 +109,7 @@
       out = take (mr_wire_heartbeat ("d1", &h));
       break;
     case 1:
-      out = take (mr_wire_news ("d1", news, 2));
+      out = take (mr_wire_announce ("d1", news, 2));
       break;
     case 2:
       out = take (mr_wire_get ("d1", news, 2));
@@ -121,16 +121,16 @@
       out = partial_bytes ((guint) n % 20);
       break;
     case 5:
-      out = take (mr_wire_forget ("d1", 5, (guint64) n));
+      out = take (mr_wire_cancel_batch ("d1", 5, (guint64) n));
       break;
     case 6:
       out = take (mr_wire_order ("d1", &order));
       break;
     case 7:
-      out = take (mr_wire_list ("d1", range, news, 2));
+      out = take (mr_wire_range_summaries ("d1", range, news, 2));
       break;
     case 8:
-      out = take (mr_wire_ranges ("d1", range, digests));
+      out = take (mr_wire_range_digests ("d1", range, digests));
       break;
     case 9:
       out = take (mr_wire_objects ("d1", objects, 2));
@@ -143,7 +143,7 @@
       out = take (mr_wire_heartbeat ("d1", &h));
       break;
     case 11:
-      out = take (mr_wire_deflate ("d1", mr_wire_news ("d1", many.data (), MANY)));
+      out = take (mr_wire_deflate ("d1", mr_wire_announce ("d1", many.data (), MANY)));
       break;
     default:
       out = take (mr_wire_order_result ("d1", &result));
@@ -199,23 +199,23 @@
        ok;
   ok = rc::check ("a compressed message is the one that it was made of",
                   [] {
-                    std::vector<MrNews> news (*rc::gen::inRange (30, 400));
+                    std::vector<MrObjectSummary> news (*rc::gen::inRange (30, 400));
                     for (auto &n : news)
                       {
                         n.kind = MR_OBJECT_TARGET;
                         n.version = *rc::gen::arbitrary<guint64> ();
                       }
-                    GString *plain = mr_wire_news ("d1", news.data (), (guint) news.size ());
+                    GString *plain = mr_wire_announce ("d1", news.data (), (guint) news.size ());
                     gsize len = plain->len;
                     GString *bytes = mr_wire_deflate ("d1", plain);
                     MrWireMessage m;
                     RC_ASSERT (len < 600 || mr_wire_type (bytes) == MR_WIRE_DEFLATED);
                     RC_ASSERT (bytes->len <= len);
                     RC_ASSERT (mr_wire_decode (mr_text_of (bytes), &m) == MR_OK);
-                    RC_ASSERT (m.type == MR_WIRE_NEWS);
-                    RC_ASSERT (m.news_count == news.size ());
-                    for (guint i = 0; i < m.news_count; i++)
-                      RC_ASSERT (m.news[i].version == news[i].version);
+                    RC_ASSERT (m.type == MR_WIRE_ANNOUNCE);
+                    RC_ASSERT (m.summary_count == news.size ());
+                    for (guint i = 0; i < m.summary_count; i++)
+                      RC_ASSERT (m.summaries[i].version == news[i].version);
                     mr_wire_message_clear (&m);
                     g_string_free (bytes, TRUE);
                   }) &&
--- a/test/soak/proxy.c
+++ b/test/soak/proxy.c
@@ -17,7 +17,7 @@
 /* One end of a proxied connection. */
 typedef struct
 {
-  MrStreamHost host;
+  MrStreamHandler host;
   Link *link;
   MrStream *stream; /* NULL once it has ended */
   GString *waiting; /* to be written to this end */
@@ -72,7 +72,7 @@
 }
 
 static void
-S_received (MrStreamHost *host, MrStream *stream, MrText bytes)
+S_received (MrStreamHandler *host, MrStream *stream, MrText bytes)
 {
   End *from = (End *) host;
   Link *link = from->link;
@@ -107,7 +107,7 @@
 /* The end of one side is passed on, unless the path is silent.  An ended process refuses
  * connections before anybody hears of it, and so does what stands for it. */
 static void
-S_ended (MrStreamHost *host, MrStream *stream, MrStreamEnd end)
+S_ended (MrStreamHandler *host, MrStream *stream, MrStreamEnd end)
 {
   End *from = (End *) host;
   Link *link = from->link;
@@ -119,15 +119,15 @@
 }
 
 static void
-S_opened (MrStreamHost *host, MrStream *stream)
+S_opened (MrStreamHandler *host, MrStream *stream)
 {
   (void) host;
   (void) stream;
 }
 
-static const MrStreamHost end_host = { .opened = S_opened,
-                                       .received = S_received,
-                                       .ended = S_ended };
+static const MrStreamHandler end_host = { .on_open = S_opened,
+                                          .on_data = S_received,
+                                          .on_end = S_ended };
 
 static void
 S_init_end (Link *link, End *end)
@@ -149,7 +149,7 @@
   S_init_end (link, &link->server);
   g_queue_push_tail_link (&proxy->links, &link->node);
   link->caller.stream = stream;
-  mr_stream_set_host (stream, &link->caller.host);
+  mr_stream_set_handler (stream, &link->caller.host);
   link->server.stream =
       mr_stream_connect (proxy->loop, &link->server.host, "127.0.0.1", proxy->server_port);
   if (!link->server.stream)
--- a/test/soak/soak.c
+++ b/test/soak/soak.c
@@ -114,7 +114,7 @@
 }
 
 static MrTime
-S_on_tick (MrLoopHost *host, MrTime now)
+S_on_tick (MrLoopHandler *host, MrTime now)
 {
   Soak *s = (Soak *) host;
   S_note_stall (s, now);
--- a/test/soak/soak.h
+++ b/test/soak/soak.h
@@ -89,7 +89,7 @@
 
 struct Soak
 {
-  MrLoopHost host;
+  MrLoopHandler host;
   MrLoop *loop;
   MrTimers *timers; /* Caller */
   MrTimers *proxy_timers;
--- a/test/soak/soak_callers.c
+++ b/test/soak/soak_callers.c
@@ -28,7 +28,7 @@
 /* One caller's connection, with or without a request. */
 typedef struct
 {
-  MrStreamHost host;
+  MrStreamHandler host;
   Soak *soak;
   MrStream *stream;
   MrHttpParser *parser;
@@ -72,7 +72,7 @@
 {
   char searcher[ID_BYTES];
   g_autofree char *signature =
-      mr_text_dup (mr_http_parser_find (c->parser, "X-Server-Stamp", NULL));
+      mr_text_dup (mr_http_parser_find_field (c->parser, "X-Server-Stamp", NULL));
   if (!S_read_signature (signature, c->id, searcher))
     {
       soak_broken (c->soak, "own: request %s got signature '%s'", c->id, signature);
@@ -86,8 +86,10 @@
 static void
 S_check_all (Caller *c)
 {
-  g_autofree char *list = mr_text_dup (mr_http_parser_find (c->parser, "X-Part-Stamps", NULL));
-  g_autofree char *missing = mr_text_dup (mr_http_parser_find (c->parser, "X-Missing-Parts", NULL));
+  g_autofree char *list =
+      mr_text_dup (mr_http_parser_find_field (c->parser, "X-Part-Stamps", NULL));
+  g_autofree char *missing =
+      mr_text_dup (mr_http_parser_find_field (c->parser, "X-Missing-Parts", NULL));
   g_auto (GStrv) parts = g_strsplit (list, ", ", -1);
   guint count = g_strv_length (parts);
   guint seen = 0;
@@ -195,7 +197,7 @@
 }
 
 static void
-S_received (MrStreamHost *host, MrStream *stream, MrText bytes)
+S_received (MrStreamHandler *host, MrStream *stream, MrText bytes)
 {
   Caller *c = (Caller *) host;
   (void) stream;
@@ -226,7 +228,7 @@
 }
 
 static void
-S_ended (MrStreamHost *host, MrStream *stream, MrStreamEnd end)
+S_ended (MrStreamHandler *host, MrStream *stream, MrStreamEnd end)
 {
   Caller *c = (Caller *) host;
   gboolean refused = end == MR_STREAM_REFUSED;
@@ -239,16 +241,16 @@
 }
 
 static void
-S_opened (MrStreamHost *host, MrStream *stream)
+S_opened (MrStreamHandler *host, MrStream *stream)
 {
   Caller *c = (Caller *) host;
   c->sent = mr_now ();
   mr_stream_write (stream, mr_text_of (c->waiting));
 }
 
-static const MrStreamHost caller_host = { .opened = S_opened,
-                                          .received = S_received,
-                                          .ended = S_ended };
+static const MrStreamHandler caller_host = { .on_open = S_opened,
+                                             .on_data = S_received,
+                                             .on_end = S_ended };
 
 /* A kept connection, or a new one. */
 static Caller *
--- a/test/test_changes.c
+++ b/test/test_changes.c
@@ -34,7 +34,7 @@
 {
   mr_roster_put (roster, member);
   mr_cold_share_on_member (share, now, member);
-  MrEntryPlan plan = mr_entry_plan (roster, "m0");
+  MrEntryPlan plan = mr_entry_plan_compute (roster, "m0");
   mr_cold_share_update (share, now, roster, &plan);
   mr_watch_is_relay_watcher (roster, "m7");
   mr_watch_is_first_watcher (roster, "m7");
@@ -153,8 +153,8 @@
       MrRoster *rebuilt = mr_roster_new ();
       for (guint m = 0; m < MEMBERS; m++)
         mr_roster_put (rebuilt, &members[m]);
-      MrEntryPlan a = mr_entry_plan (updated, "m3");
-      MrEntryPlan b = mr_entry_plan (rebuilt, "m3");
+      MrEntryPlan a = mr_entry_plan_compute (updated, "m3");
+      MrEntryPlan b = mr_entry_plan_compute (rebuilt, "m3");
       assert_int_equal (mr_roster_count (updated), mr_roster_count (rebuilt));
       assert_int_equal (mr_roster_usable_count (updated), mr_roster_usable_count (rebuilt));
       assert_int_equal (mr_roster_total_load (updated), mr_roster_total_load (rebuilt));
--- a/test/test_decisions.c
+++ b/test/test_decisions.c
@@ -4,7 +4,7 @@
 #include "concurrency_limit.h"
 #include "health.h"
 #include "histogram.h"
-#include "orders.h"
+#include "order_records.h"
 #include "owner.h"
 #include "registry.h"
 #include "resend_budget.h"
@@ -287,12 +287,12 @@
 {
   (void) state;
   guint8 random[32] = { 1, 2, 3 };
-  MrOrdersLimits limits = { 60 * MR_SECOND, 600 * MR_SECOND, 2 };
-  MrOrders *orders = mr_orders_new (mr_ticket_issuer_new ("d1", 0, random), &limits);
-  char t[4][MR_TICKET_MAX + 1];
+  MrOrderRecordLimits limits = { 60 * MR_SECOND, 600 * MR_SECOND, 2 };
+  MrOrderRecords *orders = mr_order_records_new (mr_ticket_issuer_new ("d1", 0, random), &limits);
+  char t[4][MR_TICKET_MAX_LENGTH + 1];
   for (int i = 0; i < 4; i++)
-    mr_ticket_issue (mr_orders_issuer (orders), MR_SECOND, t[i]);
-  char forged[MR_TICKET_MAX + 1];
+    mr_ticket_issue (mr_order_records_issuer (orders), MR_SECOND, t[i]);
+  char forged[MR_TICKET_MAX_LENGTH + 1];
   g_strlcpy (forged, t[0], sizeof forged);
   forged[strlen (forged) - 1] ^= 1;
   const struct
@@ -300,38 +300,40 @@
     const char *ticket;
     const char *body;
     MrTime at;
-    MrOrdersDecision decision;
+    MrOrderAction decision;
     MrResult result;
     MrResult end; /* of a dispatch; 0: leave it in flight */
   } steps[] = {
-    { "", "a", 2, MR_ORDERS_ANSWER, MR_RESULT_NO_TICKET, 0 },
-    { "rubbish", "a", 2, MR_ORDERS_ANSWER, MR_RESULT_BAD_TICKET, 0 },
-    { forged, "a", 2, MR_ORDERS_ANSWER, MR_RESULT_BAD_TICKET, 0 },
-    { "d1.00000000000000000000000000000000.1.1.0000000000000000", "a", 2, MR_ORDERS_FORWARD, 0, 0 },
-    { t[0], "a", 2, MR_ORDERS_RUN, 0, MR_RESULT_DONE },
-    { t[0], "a", 3, MR_ORDERS_ANSWER, MR_RESULT_DONE, 0 },
-    { t[0], "b", 3, MR_ORDERS_ANSWER, MR_RESULT_TICKET_REUSED, 0 },
-    { t[1], "a", 4, MR_ORDERS_RUN, 0, MR_RESULT_NO_TARGET },
-    { t[1], "a", 5, MR_ORDERS_RUN, 0, 0 },
-    { t[1], "a", 6, MR_ORDERS_ANSWER, MR_RESULT_IN_FLIGHT, 0 },
-    { t[2], "a", 7, MR_ORDERS_ANSWER, MR_RESULT_ORDERS_FULL, 0 },
-    { t[2], "a", 62, MR_ORDERS_ANSWER, MR_RESULT_TICKET_EXPIRED, 0 },
-    { t[0], "a", 600, MR_ORDERS_ANSWER, MR_RESULT_DONE, 0 },
-    { t[0], "a", 662, MR_ORDERS_ANSWER, MR_RESULT_RECORD_GONE, 0 },
-    { t[1], "a", 662, MR_ORDERS_ANSWER, MR_RESULT_IN_FLIGHT, 0 }, /* never dropped in flight */
+    { "", "a", 2, MR_ORDER_ACTION_ANSWER, MR_RESULT_NO_TICKET, 0 },
+    { "rubbish", "a", 2, MR_ORDER_ACTION_ANSWER, MR_RESULT_BAD_TICKET, 0 },
+    { forged, "a", 2, MR_ORDER_ACTION_ANSWER, MR_RESULT_BAD_TICKET, 0 },
+    { "d1.00000000000000000000000000000000.1.1.0000000000000000", "a", 2, MR_ORDER_ACTION_FORWARD,
+      0, 0 },
+    { t[0], "a", 2, MR_ORDER_ACTION_RUN, 0, MR_RESULT_DONE },
+    { t[0], "a", 3, MR_ORDER_ACTION_ANSWER, MR_RESULT_DONE, 0 },
+    { t[0], "b", 3, MR_ORDER_ACTION_ANSWER, MR_RESULT_TICKET_REUSED, 0 },
+    { t[1], "a", 4, MR_ORDER_ACTION_RUN, 0, MR_RESULT_NO_TARGET },
+    { t[1], "a", 5, MR_ORDER_ACTION_RUN, 0, 0 },
+    { t[1], "a", 6, MR_ORDER_ACTION_ANSWER, MR_RESULT_IN_FLIGHT, 0 },
+    { t[2], "a", 7, MR_ORDER_ACTION_ANSWER, MR_RESULT_ORDERS_FULL, 0 },
+    { t[2], "a", 62, MR_ORDER_ACTION_ANSWER, MR_RESULT_TICKET_EXPIRED, 0 },
+    { t[0], "a", 600, MR_ORDER_ACTION_ANSWER, MR_RESULT_DONE, 0 },
+    { t[0], "a", 662, MR_ORDER_ACTION_ANSWER, MR_RESULT_RECORD_GONE, 0 },
+    { t[1], "a", 662, MR_ORDER_ACTION_ANSWER, MR_RESULT_IN_FLIGHT,
+      0 }, /* never dropped in flight */
   };
   for (size_t i = 0; i < G_N_ELEMENTS (steps); i++)
     {
-      MrOrdersVerdict v =
-          mr_orders_begin (orders, steps[i].at * MR_SECOND, mr_text (steps[i].ticket),
-                           MR_TEXT ("shop"), mr_text (steps[i].body));
-      if (v.decision != steps[i].decision ||
-          (v.decision == MR_ORDERS_ANSWER && v.result != steps[i].result))
-        fail_msg ("step %zu: decision %d result %s", i, v.decision, mr_result_name (v.result));
+      MrOrderDecision v =
+          mr_order_records_begin (orders, steps[i].at * MR_SECOND, mr_text (steps[i].ticket),
+                                  MR_TEXT ("shop"), mr_text (steps[i].body));
+      if (v.action != steps[i].decision ||
+          (v.action == MR_ORDER_ACTION_ANSWER && v.result != steps[i].result))
+        fail_msg ("step %zu: decision %d result %s", i, v.action, mr_result_name (v.result));
       if (steps[i].end)
-        mr_orders_end (orders, v.ticket.sequence, steps[i].end, MR_TEXT ("{}"));
+        mr_order_records_end (orders, v.ticket.sequence, steps[i].end, MR_TEXT ("{}"));
     }
-  mr_orders_free (orders);
+  mr_order_records_free (orders);
 }
 
 /* Computed by hand: 2 slow requests of 100 with an objective of 99 % burn at rate 2. */
--- a/test/test_directory.c
+++ b/test/test_directory.c
@@ -46,7 +46,7 @@
 static guint
 S_named_daemons (const FleetNode *node, guint *indices)
 {
-  MrEntryPlan plan = mr_entry_plan (node->roster, node->self.name);
+  MrEntryPlan plan = mr_entry_plan_compute (node->roster, node->self.name);
   guint count = plan.entries->len;
   for (guint i = 0; i < count; i++)
     indices[i] = (guint) ((const MrMember *) g_ptr_array_index (plan.entries, i))->peer_port - 1;
@@ -213,7 +213,8 @@
   };
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
-    assert_int_equal (mr_entry_keep (cases[i].domain_losses, cases[i].max_keep), cases[i].keep);
+    assert_int_equal (mr_entry_address_ttl (cases[i].domain_losses, cases[i].max_keep),
+                      cases[i].keep);
 }
 
 int
--- a/test/test_dispatch.c
+++ b/test/test_dispatch.c
@@ -26,7 +26,7 @@
 } Searches;
 
 static void
-S_start_call (MrDispatchHost *host, const MrCallStart *start)
+S_start_call (MrDispatchHost *host, const MrShardCall *start)
 {
   Searches *searches = (Searches *) host;
   searches->calls++;
@@ -51,7 +51,7 @@
 S_done (MrDispatchHost *host, MrPartial *partial)
 {
   Searches *searches = (Searches *) host;
-  searches->covered = partial->covered_count;
+  searches->covered = partial->covered_shard_count;
   searches->last = partial->batch_id;
   mr_partial_free (partial);
 }
@@ -89,8 +89,8 @@
                                   .cancel_call = S_cancel_call,
                                   .probe = S_ignore_target,
                                   .reconnect = S_ignore_target,
-                                  .done = S_done,
-                                  .evidence = S_evidence } };
+                                  .deliver_partial = S_done,
+                                  .publish_evidence = S_evidence } };
   searches.started = g_queue_new ();
   searches.map = S_two_targets (1, shards, slots);
   return searches;
@@ -105,7 +105,7 @@
 }
 
 static void
-S_search (Searches *searches, MrTime now, MrClass cls)
+S_search (Searches *searches, MrTime now, MrTrafficClass cls)
 {
   guint shards = searches->map->shard_count;
   MrBatch *batch = mr_batch_new (++searches->searches, searches->map, shards);
@@ -116,7 +116,8 @@
     batch->shards[i] = i;
   batch->traffic_class = cls;
   batch->deadline = now + 10 * MR_SECOND;
-  batch->policy = (MrPolicy){ .extra_calls = 0.05, .hedge_quantile = 0.95, .owners = 1 };
+  batch->policy =
+      (MrBatchPolicy){ .extra_call_ratio = 0.05, .hedge_quantile = 0.95, .owner_count = 1 };
   mr_dispatch_submit (searches->dispatch, now, batch);
 }
 
@@ -126,8 +127,8 @@
 {
   for (guint i = 0; i < count; i++)
     {
-      g_autofree MrCallStart *call = g_queue_pop_head (searches->started);
-      MrCallEnd end = { .id = call->id, .outcome = MR_CALL_BROKEN };
+      g_autofree MrShardCall *call = g_queue_pop_head (searches->started);
+      MrCallResult end = { .id = call->id, .outcome = MR_CALL_BROKEN };
       mr_dispatch_call_end (searches->dispatch, MR_SECOND, &end);
       mr_dispatch_probe_end (searches->dispatch, MR_SECOND, call->target->key, true);
     }
@@ -138,8 +139,8 @@
 {
   for (guint i = 0; i < count; i++)
     {
-      g_autofree MrCallStart *call = g_queue_pop_head (searches->started);
-      MrCallEnd end = {
+      g_autofree MrShardCall *call = g_queue_pop_head (searches->started);
+      MrCallResult end = {
         .id = call->id,
         .outcome = MR_CALL_ANSWER,
         .echoed_id = call->id,
@@ -165,7 +166,7 @@
   (void) state;
   Searches searches = S_begin (SHARDS, 50);
   /* All connections to the target that got a call first are gone. */
-  S_search (&searches, MR_SECOND, MR_CLASS_URGENT);
+  S_search (&searches, MR_SECOND, MR_TRAFFIC_CLASS_URGENT);
   S_break (&searches, SHARDS);
   assert_int_equal (searches.calls, 2 * SHARDS);
   S_answer (&searches, MR_SECOND, g_queue_get_length (searches.started));
@@ -173,7 +174,7 @@
   /* Still a bound: the searches after it lose their first calls, too. */
   for (guint i = 0; i < LATER; i++)
     {
-      S_search (&searches, MR_SECOND, MR_CLASS_URGENT);
+      S_search (&searches, MR_SECOND, MR_TRAFFIC_CLASS_URGENT);
       S_break (&searches, SHARDS);
       S_break (&searches, g_queue_get_length (searches.started));
     }
@@ -196,15 +197,15 @@
   (void) state;
   Searches searches = S_begin (1, 1);
   MrTime now = MR_SECOND;
-  S_search (&searches, now, MR_CLASS_URGENT);
-  S_search (&searches, now, MR_CLASS_URGENT);
+  S_search (&searches, now, MR_TRAFFIC_CLASS_URGENT);
+  S_search (&searches, now, MR_TRAFFIC_CLASS_URGENT);
   searches.searches = BROWSING;
-  S_search (&searches, now, MR_CLASS_BROWSING);
+  S_search (&searches, now, MR_TRAFFIC_CLASS_BROWSING);
   MrTime asked = now;
   for (now += URGENT_GAP_MS * MR_MS; searches.last != BROWSING + 1; now += URGENT_GAP_MS * MR_MS)
     {
       assert_true (now - asked < 600 * MR_MS);
-      S_search (&searches, now, MR_CLASS_URGENT);
+      S_search (&searches, now, MR_TRAFFIC_CLASS_URGENT);
       S_answer (&searches, now, 1);
     }
   assert_true (now - asked > 400 * MR_MS); /* urgent ones did overtake until then */
@@ -226,15 +227,15 @@
   Searches searches = S_begin (SHARDS, 50);
   for (guint generation = 2; generation <= MAPS; generation++)
     {
-      S_search (&searches, MR_SECOND, MR_CLASS_URGENT);
+      S_search (&searches, MR_SECOND, MR_TRAFFIC_CLASS_URGENT);
       mr_shard_map_unref (searches.map);
       searches.map = S_two_targets (generation, SHARDS, 50);
-      S_search (&searches, MR_SECOND, MR_CLASS_URGENT);
-      assert_int_equal (mr_dispatch_maps (searches.dispatch), 2);
+      S_search (&searches, MR_SECOND, MR_TRAFFIC_CLASS_URGENT);
+      assert_int_equal (mr_dispatch_map_count (searches.dispatch), 2);
       S_answer (&searches, MR_SECOND, 2 * SHARDS);
       assert_int_equal (searches.covered, SHARDS);
       mr_dispatch_tick (searches.dispatch, MR_SECOND);
-      assert_int_equal (mr_dispatch_maps (searches.dispatch), 1);
+      assert_int_equal (mr_dispatch_map_count (searches.dispatch), 1);
     }
   S_end (&searches);
 }
@@ -246,8 +247,8 @@
   guint count = g_queue_get_length (searches->started);
   for (guint i = 0; i < count; i++)
     {
-      g_autofree MrCallStart *call = g_queue_pop_head (searches->started);
-      MrCallEnd end = { .id = call->id, .outcome = MR_CALL_BROKEN };
+      g_autofree MrShardCall *call = g_queue_pop_head (searches->started);
+      MrCallResult end = { .id = call->id, .outcome = MR_CALL_BROKEN };
       mr_dispatch_call_end (searches->dispatch, now, &end);
       mr_dispatch_probe_end (searches->dispatch, now, call->target->key, false);
     }
@@ -277,7 +278,7 @@
   (void) state;
   Searches searches = S_begin (SHARDS, 50);
   MrTime now = MR_SECOND;
-  S_search (&searches, now, MR_CLASS_URGENT);
+  S_search (&searches, now, MR_TRAFFIC_CLASS_URGENT);
   S_end_targets (&searches, now);
   assert_true (searches.calls <= SHARDS + 1);
   for (guint i = 0; i < REPEATS; i++)
@@ -286,7 +287,7 @@
         S_end_targets (&searches, now);
       now += 3 * MR_SECOND;
       S_revive_targets (&searches, now);
-      S_search (&searches, now, MR_CLASS_URGENT);
+      S_search (&searches, now, MR_TRAFFIC_CLASS_URGENT);
       mr_dispatch_tick (searches.dispatch, now);
     }
   assert_int_equal (mr_evidence_standing (&searches.evidence, 4), MR_STANDING_QUARANTINED);
--- a/test/test_fleet_shares.c
+++ b/test/test_fleet_shares.c
@@ -204,11 +204,11 @@
       double allowance = 0;
       for (guint m = c->dead; m < c->members; m++)
         {
-          MrEntryPlan plan = mr_entry_plan (roster, members[m].name);
+          MrEntryPlan plan = mr_entry_plan_compute (roster, members[m].name);
           if (plan.entries->len != c->entries)
             fail_msg ("%s: %u entries, expected %u", c->name, plan.entries->len, c->entries);
-          connections += plan.connections;
-          allowance += plan.allowance;
+          connections += plan.connection_share;
+          allowance += plan.allowance_share;
           mr_entry_plan_clear (&plan);
         }
       if (connections > 1 || allowance > 1.0001 || allowance < 0.99)
@@ -231,7 +231,7 @@
   for (guint m = 0; m < MEMBERS; m++)
     members[m] = S_member (m, 3, m < 6 ? 500 : 120);
   MrRoster *roster = S_roster (members, MEMBERS);
-  MrEntryPlan plan = mr_entry_plan (roster, "m0");
+  MrEntryPlan plan = mr_entry_plan_compute (roster, "m0");
   guint domains[3] = { 0 };
   for (guint i = 0; i < plan.entries->len; i++)
     {
@@ -279,7 +279,7 @@
           members[m].busy = m >= cases[i].ready;
         }
       MrRoster *roster = S_roster (members, count);
-      MrEntryPlan plan = mr_entry_plan (roster, members[0].name);
+      MrEntryPlan plan = mr_entry_plan_compute (roster, members[0].name);
       if (plan.entries->len != cases[i].entries)
         fail_msg ("%s: %u entries", cases[i].name, plan.entries->len);
       for (guint e = 0; e < plan.entries->len; e++)
--- a/test/test_homes.c
+++ b/test/test_homes.c
@@ -180,13 +180,13 @@
   MrRoster *roster = mr_roster_new ();
   for (guint i = 0; i < MEMBERS; i++)
     mr_roster_put (roster, &members[i]);
-  MrEntryPlan plan = mr_entry_plan (roster, "m00");
+  MrEntryPlan plan = mr_entry_plan_compute (roster, "m00");
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       g_autoptr (GHashTable) regions = g_hash_table_new (g_str_hash, g_str_equal);
       for (guint n = 0; n < 3 && cases[i].regions[n]; n++)
         g_hash_table_add (regions, (gpointer) cases[i].regions[n]);
-      g_autoptr (GPtrArray) answer = mr_entry_plan_in (&plan, roster, regions);
+      g_autoptr (GPtrArray) answer = mr_entry_plan_for_regions (&plan, roster, regions);
       assert_true (answer->len >= MIN (cases[i].min_count, plan.entries->len));
       for (guint n = 0; n < answer->len; n++)
         assert_true (g_str_equal (cases[i].regions[0], "nowhere") ||
--- a/test/test_http_message.c
+++ b/test/test_http_message.c
@@ -38,44 +38,47 @@
   { "half a head", MR_HTTP_REQUEST, GET, MR_HTTP_HEAD, "", "" },
   { "half a body", MR_HTTP_REQUEST, POST "Content-Length: 3\r\n\r\nab", MR_HTTP_BODY, "ab", "" },
   { "length and chunks", MR_HTTP_REQUEST,
-    POST "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", MR_HTTP_BAD, "",
+    POST "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", MR_HTTP_MALFORMED, "",
     NULL },
   { "two lengths", MR_HTTP_REQUEST, POST "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
-    MR_HTTP_BAD, "", NULL },
+    MR_HTTP_MALFORMED, "", NULL },
   { "the same length twice", MR_HTTP_REQUEST,
-    POST "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc", MR_HTTP_BAD, "", NULL },
-  { "signed length", MR_HTTP_REQUEST, POST "Content-Length: +3\r\n\r\nabc", MR_HTTP_BAD, "", NULL },
-  { "list of lengths", MR_HTTP_REQUEST, POST "Content-Length: 3, 3\r\n\r\nabc", MR_HTTP_BAD, "",
+    POST "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc", MR_HTTP_MALFORMED, "", NULL },
+  { "signed length", MR_HTTP_REQUEST, POST "Content-Length: +3\r\n\r\nabc", MR_HTTP_MALFORMED, "",
     NULL },
-  { "space before the colon", MR_HTTP_REQUEST, POST "Content-Length : 3\r\n\r\nabc", MR_HTTP_BAD,
+  { "list of lengths", MR_HTTP_REQUEST, POST "Content-Length: 3, 3\r\n\r\nabc", MR_HTTP_MALFORMED,
+    "", NULL },
+  { "space before the colon", MR_HTTP_REQUEST, POST "Content-Length : 3\r\n\r\nabc",
+    MR_HTTP_MALFORMED, "", NULL },
+  { "unknown coding", MR_HTTP_REQUEST, POST "Transfer-Encoding: gzip\r\n\r\nabc", MR_HTTP_MALFORMED,
     "", NULL },
-  { "unknown coding", MR_HTTP_REQUEST, POST "Transfer-Encoding: gzip\r\n\r\nabc", MR_HTTP_BAD, "",
-    NULL },
   { "chunked is not last", MR_HTTP_REQUEST,
-    POST "Transfer-Encoding: chunked, identity\r\n\r\n0\r\n\r\n", MR_HTTP_BAD, "", NULL },
+    POST "Transfer-Encoding: chunked, identity\r\n\r\n0\r\n\r\n", MR_HTTP_MALFORMED, "", NULL },
   { "odd chunk size", MR_HTTP_REQUEST, POST "Transfer-Encoding: chunked\r\n\r\n0x2\r\nab\r\n",
-    MR_HTTP_BAD, "", NULL },
+    MR_HTTP_MALFORMED, "", NULL },
   { "chunk longer than its size", MR_HTTP_REQUEST,
-    POST "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", MR_HTTP_BAD, "", NULL },
-  { "bare line feed ends a line", MR_HTTP_REQUEST, "GET /a HTTP/1.1\nHost: h\r\n\r\n", MR_HTTP_BAD,
-    "", NULL },
+    POST "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", MR_HTTP_MALFORMED, "", NULL },
+  { "bare line feed ends a line", MR_HTTP_REQUEST, "GET /a HTTP/1.1\nHost: h\r\n\r\n",
+    MR_HTTP_MALFORMED, "", NULL },
   { "bare line feed hides a field", MR_HTTP_REQUEST, GET "A: b\nContent-Length: 3\r\n\r\n",
-    MR_HTTP_BAD, "", NULL },
-  { "bare carriage return", MR_HTTP_REQUEST, GET "A: b\rC: d\r\n\r\n", MR_HTTP_BAD, "", NULL },
-  { "folded line", MR_HTTP_REQUEST, GET "A: b\r\n c\r\n\r\n", MR_HTTP_BAD, "", NULL },
-  { "no host", MR_HTTP_REQUEST, "GET /a HTTP/1.1\r\n\r\n", MR_HTTP_BAD, "", NULL },
-  { "two hosts", MR_HTTP_REQUEST, GET "Host: i\r\n\r\n", MR_HTTP_BAD, "", NULL },
-  { "no path", MR_HTTP_REQUEST, "GET a HTTP/1.1\r\nHost: h\r\n\r\n", MR_HTTP_BAD, "", NULL },
-  { "tunnel", MR_HTTP_REQUEST, "CONNECT h:80 HTTP/1.1\r\nHost: h\r\n\r\n", MR_HTTP_BAD, "", NULL },
-  { "no HTTP", MR_HTTP_REQUEST, "\x16\x03\x01\x02\r\n\r\n", MR_HTTP_BAD, "", NULL },
+    MR_HTTP_MALFORMED, "", NULL },
+  { "bare carriage return", MR_HTTP_REQUEST, GET "A: b\rC: d\r\n\r\n", MR_HTTP_MALFORMED, "",
+    NULL },
+  { "folded line", MR_HTTP_REQUEST, GET "A: b\r\n c\r\n\r\n", MR_HTTP_MALFORMED, "", NULL },
+  { "no host", MR_HTTP_REQUEST, "GET /a HTTP/1.1\r\n\r\n", MR_HTTP_MALFORMED, "", NULL },
+  { "two hosts", MR_HTTP_REQUEST, GET "Host: i\r\n\r\n", MR_HTTP_MALFORMED, "", NULL },
+  { "no path", MR_HTTP_REQUEST, "GET a HTTP/1.1\r\nHost: h\r\n\r\n", MR_HTTP_MALFORMED, "", NULL },
+  { "tunnel", MR_HTTP_REQUEST, "CONNECT h:80 HTTP/1.1\r\nHost: h\r\n\r\n", MR_HTTP_MALFORMED, "",
+    NULL },
+  { "no HTTP", MR_HTTP_REQUEST, "\x16\x03\x01\x02\r\n\r\n", MR_HTTP_MALFORMED, "", NULL },
   { "head over the limit", MR_HTTP_REQUEST,
     GET "A: 0123456789012345678901234567890123456789012345678901234567890123456789\r\n\r\n",
-    MR_HTTP_HEAD_BIG, "", NULL },
-  { "body over the limit", MR_HTTP_REQUEST, POST "Content-Length: 17\r\n\r\n", MR_HTTP_BODY_BIG, "",
-    NULL },
+    MR_HTTP_HEAD_TOO_LARGE, "", NULL },
+  { "body over the limit", MR_HTTP_REQUEST, POST "Content-Length: 17\r\n\r\n",
+    MR_HTTP_BODY_TOO_LARGE, "", NULL },
   { "chunks over the limit", MR_HTTP_REQUEST,
-    POST "Transfer-Encoding: chunked\r\n\r\n10\r\n0123456789abcdef\r\n1\r\nx\r\n", MR_HTTP_BODY_BIG,
-    NULL, NULL },
+    POST "Transfer-Encoding: chunked\r\n\r\n10\r\n0123456789abcdef\r\n1\r\nx\r\n",
+    MR_HTTP_BODY_TOO_LARGE, NULL, NULL },
 
   { "answer", MR_HTTP_RESPONSE, OK "Content-Length: 2\r\n\r\nab", MR_HTTP_DONE, "ab", "" },
   { "bytes behind an answer", MR_HTTP_RESPONSE, OK "Content-Length: 2\r\n\r\nabX", MR_HTTP_DONE,
@@ -87,10 +90,10 @@
     "" },
   { "interim answer first", MR_HTTP_RESPONSE,
     "HTTP/1.1 100 Continue\r\n\r\n" OK "Content-Length: 1\r\n\r\na", MR_HTTP_DONE, "a", "" },
-  { "answer that is none", MR_HTTP_RESPONSE, "garbage\r\n\r\n", MR_HTTP_BAD, "", NULL },
+  { "answer that is none", MR_HTTP_RESPONSE, "garbage\r\n\r\n", MR_HTTP_MALFORMED, "", NULL },
 };
 
-static const MrHttpLimits limits = { .head = 100, .body = 16 };
+static const MrHttpLimits limits = { .max_head_bytes = 100, .max_body_bytes = 16 };
 
 static void
 S_check (const Case *c, const MrHttpParser *p, gsize used, const char *how)
@@ -135,8 +138,8 @@
     MrHttpState state;
   } ends[] = {
     { OK "\r\nab", MR_HTTP_DONE },
-    { OK "Content-Length: 3\r\n\r\nab", MR_HTTP_BAD },
-    { OK "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", MR_HTTP_BAD },
+    { OK "Content-Length: 3\r\n\r\nab", MR_HTTP_MALFORMED },
+    { OK "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", MR_HTTP_MALFORMED },
     { OK, MR_HTTP_HEAD },
   };
   (void) state;
@@ -159,12 +162,12 @@
   guint count = 0;
   mr_http_parser_feed (p, MR_TEXT (GET "X-A:  one \r\nx-a: two\r\nConnection: close, X-Hop\r\n"
                                        "X-Hop: 1\r\nTE: trailers\r\n\r\n"));
-  assert_true (mr_text_equal (mr_http_parser_find (p, "X-A", &count), MR_TEXT ("one")));
+  assert_true (mr_text_equal (mr_http_parser_find_field (p, "X-A", &count), MR_TEXT ("one")));
   assert_int_equal (count, 2);
   assert_false (mr_http_parser_keep_alive (p));
-  assert_true (mr_http_parser_is_hop_field (p, MR_TEXT ("x-hop")));
-  assert_true (mr_http_parser_is_hop_field (p, MR_TEXT ("te")));
-  assert_false (mr_http_parser_is_hop_field (p, MR_TEXT ("X-A")));
+  assert_true (mr_http_parser_is_hop_by_hop (p, MR_TEXT ("x-hop")));
+  assert_true (mr_http_parser_is_hop_by_hop (p, MR_TEXT ("te")));
+  assert_false (mr_http_parser_is_hop_by_hop (p, MR_TEXT ("X-A")));
   mr_http_parser_free (p);
 }
 
--- a/test/test_incarnation.c
+++ b/test/test_incarnation.c
@@ -22,7 +22,7 @@
   MrTargetRecord record = { .service = "s",
                             .target = { .ip = "10.0.0.1", .port = 80, .slots = 2 } };
   record.target.started = started;
-  return mr_target_record_write (&record);
+  return mr_target_record_to_json (&record);
 }
 
 typedef struct
@@ -80,7 +80,7 @@
           mr_registry_offer (registry, MR_OBJECT_TARGET, MR_TEXT ("i-1"), version, mr_text (body));
         }
       const MrObject *object = mr_registry_get (registry, MR_OBJECT_TARGET, "i-1");
-      if (mr_target_record_started (mr_text_of (object->body)) != cases[i].started)
+      if (mr_target_record_start_time (mr_text_of (object->body)) != cases[i].started)
         fail_msg ("%s: kept %s", cases[i].name, object->body->str);
       mr_registry_free (registry);
     }
--- a/test/test_peer_link.c
+++ b/test/test_peer_link.c
@@ -36,7 +36,7 @@
     {
       site->asked++;
       g_string_append (in, ", answered");
-      assert_true (mr_peer_link_answer (site->seed, in));
+      assert_true (mr_peer_link_reply (site->seed, in));
       g_string_free (in, TRUE);
     }
   for (guint i = 0; i < ASKERS; i++)
@@ -65,18 +65,18 @@
       assert_non_null (site.askers[i]);
       g_autoptr (GString) question = g_string_new (NULL);
       g_string_printf (question, "question %u", i);
-      assert_true (mr_peer_link_ask (site.askers[i], mr_now (), ip, FIRST_PORT, question));
-      assert_int_equal (mr_peer_link_sockets (site.askers[i]), 1);
+      assert_true (mr_peer_link_request (site.askers[i], mr_now (), ip, FIRST_PORT, question));
+      assert_int_equal (mr_peer_link_socket_count (site.askers[i]), 1);
     }
   MrTime end = mr_now () + LONGEST;
   while (site.answered < ASKERS && mr_now () < end)
     S_step (&site);
   assert_int_equal (site.asked, ASKERS);
   assert_int_equal (site.answered, ASKERS);
-  assert_int_equal (mr_peer_link_sockets (site.seed), 0);
+  assert_int_equal (mr_peer_link_socket_count (site.seed), 0);
   for (guint i = 0; i < ASKERS; i++)
     {
-      assert_int_equal (mr_peer_link_sockets (site.askers[i]), 0);
+      assert_int_equal (mr_peer_link_socket_count (site.askers[i]), 0);
       mr_peer_link_free (site.askers[i]);
     }
   mr_peer_link_free (site.seed);
@@ -92,11 +92,11 @@
   g_autoptr (GString) question = g_string_new ("question");
   MrTime now = MR_SECOND;
   assert_non_null (asker);
-  assert_true (mr_peer_link_ask (asker, now, ip, FIRST_PORT + 1, question));
-  assert_true (mr_peer_link_ask (asker, now + MR_SECOND, ip, FIRST_PORT + 1, question));
-  assert_int_equal (mr_peer_link_sockets (asker), 1);
-  mr_peer_link_prune (asker, now + 4 * MR_SECOND);
-  assert_int_equal (mr_peer_link_sockets (asker), 0);
+  assert_true (mr_peer_link_request (asker, now, ip, FIRST_PORT + 1, question));
+  assert_true (mr_peer_link_request (asker, now + MR_SECOND, ip, FIRST_PORT + 1, question));
+  assert_int_equal (mr_peer_link_socket_count (asker), 1);
+  mr_peer_link_close_idle (asker, now + 4 * MR_SECOND);
+  assert_int_equal (mr_peer_link_socket_count (asker), 0);
   mr_peer_link_free (asker);
 }
 
--- a/test/test_target_client.c
+++ b/test/test_target_client.c
@@ -58,7 +58,7 @@
 
 typedef struct
 {
-  MrLoopHost loop_host;
+  MrLoopHandler loop_host;
   MrTargetClientHost client_host;
   MrTargetClient *client;
   int listener;
@@ -93,7 +93,7 @@
 
 /* Often enough that the listener is closed on time. */
 static MrTime
-S_on_tick (MrLoopHost *host, MrTime now)
+S_on_tick (MrLoopHandler *host, MrTime now)
 {
   Fixture *f = (Fixture *) host;
   return MIN (mr_target_client_tick (f->client, now), now + MR_MS);
@@ -135,7 +135,7 @@
 S_play (const Case *c)
 {
   Fixture f = { .loop_host = { .on_tick = S_on_tick },
-                .client_host = { .ended = S_on_ended, .probed = S_on_probed } };
+                .client_host = { .call_ended = S_on_ended, .probed = S_on_probed } };
   MrLoop *loop = mr_loop_new (&f.loop_host, DESCRIPTORS);
   f.client = mr_target_client_new (&f.client_host, loop, NULL);
   S_listen (&f);
