--- a/src/membership_updates.c
+++ b/src/membership_updates.c
@@ -143,15 +143,15 @@
       const Peer *changed = item;
       if (!S_is_due_for (changed, peer, after_seq))
         continue;
-      guint place = count;
-      while (place > 0 && changed->update_seq < picked[place - 1]->update_seq)
-        place--;
+      guint position = count;
+      while (position > 0 && changed->update_seq < picked[position - 1]->update_seq)
+        position--;
       more = more || count == limit;
-      if (place == limit)
+      if (position == limit)
         continue;
       count = MIN (count + 1, limit);
-      memmove (&picked[place + 1], &picked[place], (count - 1 - place) * sizeof *picked);
-      picked[place] = changed;
+      memmove (&picked[position + 1], &picked[position], (count - 1 - position) * sizeof *picked);
+      picked[position] = changed;
     }
   for (guint i = 0; i < count; i++)
     heartbeat->updates[heartbeat->update_count++] = picked[i]->member;
@@ -190,11 +190,11 @@
       if (!mr_peer_is_present (peer) || !g_str_equal (peer->member.domain, asker->domain) ||
           g_str_equal (peer->member.name, asker->name))
         continue;
-      guint place = (guint) g_rand_int_range (m->random, 0, ++seen);
+      guint position = (guint) g_rand_int_range (m->random, 0, ++seen);
       if (heartbeat->update_count < limit)
         heartbeat->updates[heartbeat->update_count++] = peer->member;
-      else if (place < limit)
-        heartbeat->updates[place] = peer->member;
+      else if (position < limit)
+        heartbeat->updates[position] = peer->member;
     }
 }
 
@@ -222,14 +222,14 @@
       const Peer *peer = item;
       if (!mr_peer_is_present (peer))
         continue;
-      guint place = count;
-      while (place > 0 && S_is_stronger (&peer->member, &first[place - 1]))
-        place--;
-      if (place == limit)
+      guint position = count;
+      while (position > 0 && S_is_stronger (&peer->member, &first[position - 1]))
+        position--;
+      if (position == limit)
         continue;
       count = MIN (count + 1, limit);
-      memmove (&first[place + 1], &first[place], (count - 1 - place) * sizeof *first);
-      first[place] = peer->member;
+      memmove (&first[position + 1], &first[position], (count - 1 - position) * sizeof *first);
+      first[position] = peer->member;
     }
   heartbeat->update_count += count;
 }
--- a/src/watch.c
+++ b/src/watch.c
@@ -78,9 +78,9 @@
 S_has_watcher_above (const MrRoster *roster, guint domain, guint64 score)
 {
   guint skipped = 0;
-  for (guint place = 0; skipped <= SKIPPED_MAX; place++)
+  for (guint rank = 0; skipped <= SKIPPED_MAX; rank++)
     {
-      const MrMember *member = mr_roster_at_rank (roster, domain, place);
+      const MrMember *member = mr_roster_at_rank (roster, domain, rank);
       if (!member || mr_roster_score (member->name) <= score)
         return FALSE;
       if (member->state != MR_MEMBER_ALIVE)
--- a/test/prop_membership.cpp
+++ b/test/prop_membership.cpp
@@ -1,7 +1,8 @@
 // Members agree once faults end: running members are seen as alive, others are not.
 //
-// Runs the real membership module of up to 25 members over a simulated network with kills,
-// restarts, freezes, one-way cuts, a split in two, and jumps of the time of day.
+// Runs the real membership module of up to 12 members, or 25 in two failure domains, over a
+// simulated network with kills, restarts, freezes, one-way cuts, a split in two, and jumps of the
+// time of day.
 
 #include "core.hpp"
 #include <cstdio>
