--- a/src/membership_private.h
+++ b/src/membership_private.h
@@ -7,7 +7,8 @@
 
 #include "membership.h"
 
-/* State of one known member.  Members that no link leads to use only the first fields. */
+/* State of one known member.  The fields of pings and updates are used only for members that
+ * this one exchanges heartbeats with. */
 typedef struct
 {
   MrMember member;
@@ -75,7 +76,7 @@
 /* Returns a digest of the present members; equal views have equal digests. */
 guint64 mr_membership_members_digest (MrMembership *m);
 
-/* Processes the update acknowledgements in a heartbeat from @peer. */
+/* Processes the update numbers and the acknowledgement in a heartbeat from @peer. */
 void
 mr_updates_on_heartbeat (MrMembership *m, MrTime now, Peer *peer, const MrHeartbeat *heartbeat);
 
