--- a/src/target_client.c
+++ b/src/target_client.c
@@ -7,45 +7,46 @@
 
 enum
 {
-  /* No answer of a searcher is near this; it bounds what a broken one costs. */
-  ANSWER_BYTES_MAX = 8 * 1024 * 1024,
+  /* No response of a search target comes near this; it bounds the memory that a faulty one can
+   * take. */
+  RESPONSE_BODY_MAX = 8 * 1024 * 1024,
 };
 
-/* Idle connections are given up before the target closes them: a request that
- * crosses a close is lost.  Share of the time that the target states. */
-static const double IDLE_SHARE = 0.7;
-static const MrTime IDLE_DEFAULT = 4 * MR_SECOND;
-/* A request that may not be repeated goes out on a connection that was in use
- * this recently, or on a new one: its reset on an old one would leave it open
- * whether it ran. */
-static const MrTime FRESH = 500 * MR_MS;
+/* Idle connections are closed after this fraction of the keep-alive timeout that the target
+ * states: a request that crosses the target's close would be lost. */
+static const double IDLE_TIMEOUT_FRACTION = 0.7;
+static const MrTime DEFAULT_IDLE_TIMEOUT = 4 * MR_SECOND;
+/* A non-idempotent request reuses a connection only if it was in use this recently; otherwise
+ * it opens a new one.  If an older connection were reset, it would be unknown whether the
+ * request ran. */
+static const MrTime NON_IDEMPOTENT_REUSE_WINDOW = 500 * MR_MS;
 
 typedef struct
 {
   char *target;
-  GQueue idle; /* Connection, last used first */
-} BudgetPool;
+  GQueue idle; /* Connection, most recently used first */
+} ConnectionPool;
 
 typedef struct
 {
-  MrStreamHandler host;
+  MrStreamHandler handler;
   MrTargetClient *client;
   MrStream *stream;
-  BudgetPool *pool;
-  GList link;     /* in the pool's idle ones */
-  GList all_link; /* in the client's connections */
-  MrTimer timer;  /* end of connecting, or of idling */
+  ConnectionPool *pool;
+  GList idle_link; /* in pool->idle */
+  GList link;      /* in client->connections */
+  MrTimer timer;   /* connect timeout or idle timeout */
   gboolean connecting;
   gboolean idle;
-  gboolean used;       /* has carried a call */
-  guint64 call_id;     /* 0: none */
-  guint64 sent_before; /* bytes, when the call began */
+  gboolean used;         /* has carried a call */
+  guint64 call_id;       /* 0: none */
+  guint64 sent_at_start; /* bytes sent on the connection before the call */
   char *request_id;
   gboolean bodiless;
-  gboolean part;
-  GString *waiting; /* the request, until the connection stands */
+  gboolean is_part;
+  GString *pending_request; /* the request, until the connection is established */
   MrHttpParser *parser;
-  MrTime idle_most;
+  MrTime idle_timeout;
 } Connection;
 
 struct _MrTargetClient
@@ -53,10 +54,12 @@
   MrTargetClientHost *host;
   MrLoop *loop;
   const MrDialect *dialect;
-  GHashTable *pools; /* target -> Pool */
+  GHashTable *pools; /* target id -> ConnectionPool */
   GHashTable *calls; /* call id -> Connection */
   GQueue connections;
-  GArray *failed; /* ids of calls whose end could not be reported from within their begin */
+  /* Ids of calls that could not be started; reported by the next tick, never from within
+   * mr_target_client_call (). */
+  GArray *failed_calls;
   MrTimers *timers;
   MrProberHost prober_host;
   MrProber *prober;
@@ -69,7 +72,7 @@
 static void
 S_pool_free (gpointer data)
 {
-  BudgetPool *pool = data;
+  ConnectionPool *pool = data;
   g_free (pool->target);
   g_free (pool);
 }
@@ -91,20 +94,20 @@
   client->pools = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, S_pool_free);
   client->calls = g_hash_table_new (g_int64_hash, g_int64_equal);
   client->timers = mr_timers_new ();
-  client->failed = g_array_new (FALSE, FALSE, sizeof (guint64));
+  client->failed_calls = g_array_new (FALSE, FALSE, sizeof (guint64));
   client->prober_host = (MrProberHost){ .probed = S_probed };
   client->prober = mr_prober_new (&client->prober_host, loop);
   g_queue_init (&client->connections);
   return client;
 }
 
-static BudgetPool *
-S_pool (MrTargetClient *client, const char *target)
+static ConnectionPool *
+S_get_pool (MrTargetClient *client, const char *target)
 {
-  BudgetPool *pool = g_hash_table_lookup (client->pools, target);
+  ConnectionPool *pool = g_hash_table_lookup (client->pools, target);
   if (pool)
     return pool;
-  pool = g_new0 (BudgetPool, 1);
+  pool = g_new0 (ConnectionPool, 1);
   pool->target = g_strdup (target);
   g_queue_init (&pool->idle);
   g_hash_table_insert (client->pools, pool->target, pool);
@@ -112,24 +115,24 @@
 }
 
 static void
-S_leave_idle (Connection *c)
+S_remove_from_idle (Connection *c)
 {
   if (!c->idle)
     return;
   c->idle = FALSE;
-  g_queue_unlink (&c->pool->idle, &c->link);
+  g_queue_unlink (&c->pool->idle, &c->idle_link);
 }
 
 static void
 S_connection_free (Connection *c)
 {
-  S_leave_idle (c);
+  S_remove_from_idle (c);
   mr_timers_set (c->client->timers, &c->timer, MR_NEVER);
-  g_queue_unlink (&c->client->connections, &c->all_link);
+  g_queue_unlink (&c->client->connections, &c->link);
   if (c->call_id)
     g_hash_table_remove (c->client->calls, &c->call_id);
-  if (c->waiting)
-    g_string_free (c->waiting, TRUE);
+  if (c->pending_request)
+    g_string_free (c->pending_request, TRUE);
   mr_http_parser_free (c->parser);
   g_free (c->request_id);
   g_free (c);
@@ -149,7 +152,7 @@
     return;
   while (client->connections.head)
     S_connection_free (client->connections.head->data);
-  g_array_unref (client->failed);
+  g_array_unref (client->failed_calls);
   mr_prober_free (client->prober);
   g_hash_table_unref (client->calls);
   g_hash_table_unref (client->pools);
@@ -157,33 +160,32 @@
   g_free (client);
 }
 
-/* Answers. */
+/* Responses. */
 
 static MrTime
-S_stated_idle (const MrHttpParser *answer)
+S_idle_timeout (const MrHttpParser *response)
 {
-  MrText value = mr_http_parser_find_field (answer, "Keep-Alive", NULL);
+  MrText value = mr_http_parser_find_field (response, "Keep-Alive", NULL);
   g_autofree char *copy = mr_text_dup (value);
-  const char *seconds = strstr (copy, "timeout=");
-  if (!seconds)
-    return IDLE_DEFAULT;
-  guint64 number = g_ascii_strtoull (seconds + strlen ("timeout="), NULL, 10);
-  return (MrTime) (IDLE_SHARE * (double) CLAMP (number, 1, 3600) * (double) MR_SECOND);
+  const char *parameter = strstr (copy, "timeout=");
+  if (!parameter)
+    return DEFAULT_IDLE_TIMEOUT;
+  guint64 seconds = g_ascii_strtoull (parameter + strlen ("timeout="), NULL, 10);
+  return (MrTime) (IDLE_TIMEOUT_FRACTION * (double) CLAMP (seconds, 1, 3600) * (double) MR_SECOND);
 }
 
-/* The target did not run the request, by its own word. */
+/* TRUE if the target states that it did not run the request. */
 static gboolean
-S_says_not_run (const MrTargetClient *client, const MrHttpParser *answer)
+S_states_not_run (const MrTargetClient *client, const MrHttpParser *response)
 {
   guint count = 0;
-  mr_http_parser_find_field (answer, client->dialect->not_run, &count);
+  mr_http_parser_find_field (response, client->dialect->not_run, &count);
   return count > 0;
 }
 
-/* A caller takes these statuses for the word that the request has not run, and may
- * send it again. */
+/* Callers take these statuses to mean that the request did not run, and may resend it. */
 static gboolean
-S_reads_as_not_run (int status)
+S_implies_not_run (int status)
 {
   enum
   {
@@ -195,7 +197,7 @@
 }
 
 static MrCallOutcome
-S_outcome (const Connection *c, const MrHttpParser *answer)
+S_classify_response (const Connection *c, const MrHttpParser *response)
 {
   enum
   {
@@ -204,92 +206,93 @@
     SUCCESS_LAST = 299,
     SERVER_ERRORS = 500,
   };
-  int status = mr_http_parser_status (answer);
+  int status = mr_http_parser_status (response);
   guint signatures = 0;
   guint encodings = 0;
   if (status == MISDIRECTED)
     return MR_CALL_MISDIRECTED;
-  if (S_says_not_run (c->client, answer))
+  if (S_states_not_run (c->client, response))
     return MR_CALL_SHED;
-  mr_http_parser_find_field (answer, c->client->dialect->signature, &signatures);
-  mr_http_parser_find_field (answer, "Content-Encoding", &encodings);
+  mr_http_parser_find_field (response, c->client->dialect->signature, &signatures);
+  mr_http_parser_find_field (response, "Content-Encoding", &encodings);
   if (status >= SUCCESS_FIRST && status <= SUCCESS_LAST)
-    /* A success that the target has not signed, or whose body is not as the
-     * target wrote it, is nobody's answer. */
+    /* A 2xx response that the target has not signed, or with a body that was encoded on the way,
+     * cannot be attributed to the target. */
     return signatures == 1 && encodings == 0 ? MR_CALL_ANSWER : MR_CALL_BROKEN;
-  if (S_reads_as_not_run (status))
+  if (S_implies_not_run (status))
     return MR_CALL_ERROR;
-  return c->part || status >= SERVER_ERRORS ? MR_CALL_ERROR : MR_CALL_ANSWER;
+  return c->is_part || status >= SERVER_ERRORS ? MR_CALL_ERROR : MR_CALL_ANSWER;
 }
 
 typedef enum
 {
-  OWNER_THIS_CALL,
-  OWNER_ANOTHER, /* a late second answer to an earlier call: passed over */
-  OWNER_UNKNOWN, /* the connection is out of step */
-} Owner;
+  MATCH_THIS_CALL,
+  MATCH_OTHER_CALL, /* e.g. a late second response to an earlier call: skipped */
+  MATCH_UNKNOWN,    /* the connection is out of sync */
+} ResponseMatch;
 
-/* Whose answer it is.  On a connection that carried calls before, a late second
- * answer to one of them can come first; the id it echoes tells. */
-static Owner
-S_owner (const Connection *c, const MrHttpParser *answer)
+/* Finds which call @response belongs to.  On a reused connection a late second response to an
+ * earlier call may arrive first; the request id that it echoes tells. */
+static ResponseMatch
+S_match_response (const Connection *c, const MrHttpParser *response)
 {
   guint count = 0;
-  MrText echo = mr_http_parser_find_field (answer, c->client->dialect->request_id, &count);
+  MrText echo = mr_http_parser_find_field (response, c->client->dialect->request_id, &count);
   if (count == 1)
-    return mr_text_equal (echo, mr_text (c->request_id)) ? OWNER_THIS_CALL : OWNER_ANOTHER;
+    return mr_text_equal (echo, mr_text (c->request_id)) ? MATCH_THIS_CALL : MATCH_OTHER_CALL;
   if (count > 1)
-    return OWNER_UNKNOWN;
-  /* Without an id: the first on its connection can only be ours, and a refusal
+    return MATCH_UNKNOWN;
+  /* Without an id: the first response on a connection can only belong to this call, and a refusal
    * has no content that could reach the wrong caller. */
-  gboolean refusal =
-      S_outcome (c, answer) == MR_CALL_SHED || S_outcome (c, answer) == MR_CALL_MISDIRECTED;
-  return !c->used || refusal ? OWNER_THIS_CALL : OWNER_UNKNOWN;
+  gboolean refusal = S_classify_response (c, response) == MR_CALL_SHED ||
+                     S_classify_response (c, response) == MR_CALL_MISDIRECTED;
+  return !c->used || refusal ? MATCH_THIS_CALL : MATCH_UNKNOWN;
 }
 
 static void
 S_make_idle (Connection *c)
 {
   c->idle = TRUE;
-  c->link.data = c;
-  g_queue_push_head_link (&c->pool->idle, &c->link);
-  mr_timers_set (c->client->timers, &c->timer, mr_now () + c->idle_most);
+  c->idle_link.data = c;
+  g_queue_push_head_link (&c->pool->idle, &c->idle_link);
+  mr_timers_set (c->client->timers, &c->timer, mr_now () + c->idle_timeout);
 }
 
-/* The parser holds a whole answer; @rest are the bytes behind it. */
+/* The parser holds a complete response, which @trailing bytes follow. */
 static void
-S_on_answer (Connection *c, gsize rest)
+S_on_response (Connection *c, gsize trailing)
 {
-  MrHttpParser *answer = c->parser;
+  MrHttpParser *response = c->parser;
   c->parser = mr_http_parser_new (MR_HTTP_RESPONSE);
-  mr_http_parser_set_limits (c->parser, (MrHttpLimits){ .max_body_bytes = ANSWER_BYTES_MAX });
-  MrCallOutcome outcome = S_outcome (c, answer);
-  /* A target may answer before it has read the request; what is left of it would
-   * be taken for the next one. */
-  gboolean keep =
-      mr_http_parser_keep_alive (answer) && rest == 0 && mr_stream_buffered_bytes (c->stream) == 0;
-  if (rest > 0)
+  mr_http_parser_set_limits (c->parser, (MrHttpLimits){ .max_body_bytes = RESPONSE_BODY_MAX });
+  MrCallOutcome outcome = S_classify_response (c, response);
+  /* A target may respond before it has read the whole request; it would take the remaining bytes
+   * for the next request. */
+  gboolean keep = mr_http_parser_keep_alive (response) && trailing == 0 &&
+                  mr_stream_buffered_bytes (c->stream) == 0;
+  if (trailing > 0)
     c->client->counts.stray_byte_closes++;
-  c->idle_most = S_stated_idle (answer);
+  c->idle_timeout = S_idle_timeout (response);
   c->used = TRUE;
   guint64 id = c->call_id;
   g_hash_table_remove (c->client->calls, &c->call_id);
   c->call_id = 0;
   MrTargetClientHost *host = c->client->host;
-  /* Nor is a failure passed on that would tell the caller what the target has not
-   * said: an order that ran would run again. */
+  /* Do not pass on a response that cannot be attributed to the target, nor one whose status tells
+   * the caller that the request did not run although the target has not stated so: an order that
+   * did run would run again. */
   if (outcome == MR_CALL_BROKEN ||
-      (outcome == MR_CALL_ERROR && S_reads_as_not_run (mr_http_parser_status (answer))))
-    g_clear_pointer (&answer, mr_http_parser_free);
+      (outcome == MR_CALL_ERROR && S_implies_not_run (mr_http_parser_status (response))))
+    g_clear_pointer (&response, mr_http_parser_free);
   if (keep)
     S_make_idle (c);
   else
     S_close (c);
-  host->call_ended (host, id, outcome, answer);
+  host->call_ended (host, id, outcome, response);
 }
 
 static void
-S_break (Connection *c, MrCallOutcome outcome)
+S_fail_call (Connection *c, MrCallOutcome outcome)
 {
   guint64 id = c->call_id;
   MrTargetClientHost *host = c->client->host;
@@ -298,9 +301,9 @@
 }
 
 static void
-S_received (MrStreamHandler *host, MrStream *stream, MrText bytes)
+S_on_data (MrStreamHandler *handler, MrStream *stream, MrText bytes)
 {
-  Connection *c = (Connection *) host;
+  Connection *c = (Connection *) handler;
   (void) stream;
   if (c->call_id == 0)
     {
@@ -316,20 +319,20 @@
       MrHttpState state = mr_http_parser_state (c->parser);
       if (state > MR_HTTP_DONE)
         {
-          S_break (c, MR_CALL_BROKEN);
+          S_fail_call (c, MR_CALL_BROKEN);
           return;
         }
       if (state != MR_HTTP_DONE)
         return;
-      Owner owner = S_owner (c, c->parser);
-      if (owner == OWNER_THIS_CALL)
+      ResponseMatch match = S_match_response (c, c->parser);
+      if (match == MATCH_THIS_CALL)
         {
-          S_on_answer (c, bytes.len);
+          S_on_response (c, bytes.len);
           return;
         }
-      if (owner == OWNER_UNKNOWN)
+      if (match == MATCH_UNKNOWN)
         {
-          S_break (c, MR_CALL_BROKEN);
+          S_fail_call (c, MR_CALL_BROKEN);
           return;
         }
       c->client->counts.unmatched_responses++;
@@ -339,20 +342,20 @@
 }
 
 static void
-S_opened (MrStreamHandler *host, MrStream *stream)
+S_on_open (MrStreamHandler *handler, MrStream *stream)
 {
-  Connection *c = (Connection *) host;
+  Connection *c = (Connection *) handler;
   c->connecting = FALSE;
   mr_timers_set (c->client->timers, &c->timer, MR_NEVER);
-  mr_stream_write (stream, mr_text_of (c->waiting));
-  g_string_free (c->waiting, TRUE);
-  c->waiting = NULL;
+  mr_stream_write (stream, mr_text_of (c->pending_request));
+  g_string_free (c->pending_request, TRUE);
+  c->pending_request = NULL;
 }
 
 static void
-S_ended (MrStreamHandler *host, MrStream *stream, MrStreamEnd end)
+S_on_end (MrStreamHandler *handler, MrStream *stream, MrStreamEnd end)
 {
-  Connection *c = (Connection *) host;
+  Connection *c = (Connection *) handler;
   if (c->call_id == 0)
     {
       S_connection_free (c);
@@ -360,19 +363,20 @@
     }
   if (end == MR_STREAM_EOF)
     mr_http_parser_finish (c->parser);
-  if (mr_http_parser_state (c->parser) == MR_HTTP_DONE && S_owner (c, c->parser) == OWNER_THIS_CALL)
+  if (mr_http_parser_state (c->parser) == MR_HTTP_DONE &&
+      S_match_response (c, c->parser) == MATCH_THIS_CALL)
     {
-      S_on_answer (c, 0);
+      S_on_response (c, 0);
       return;
     }
-  gboolean sent = mr_stream_sent_bytes (stream) > c->sent_before;
-  S_break (c, sent ? MR_CALL_BROKEN : MR_CALL_NOT_CONNECTED);
+  gboolean sent = mr_stream_sent_bytes (stream) > c->sent_at_start;
+  S_fail_call (c, sent ? MR_CALL_BROKEN : MR_CALL_NOT_CONNECTED);
 }
 
-static const MrStreamHandler stream_host = {
-  .on_open = S_opened,
-  .on_data = S_received,
-  .on_end = S_ended,
+static const MrStreamHandler stream_handler = {
+  .on_open = S_on_open,
+  .on_data = S_on_data,
+  .on_end = S_on_end,
 };
 
 /* Calls. */
@@ -381,23 +385,23 @@
 S_connect (MrTargetClient *client, MrTime now, const MrTargetState *target)
 {
   Connection *c = g_new0 (Connection, 1);
-  c->host = stream_host;
+  c->handler = stream_handler;
   c->client = client;
-  c->pool = S_pool (client, target->id);
+  c->pool = S_get_pool (client, target->id);
   c->timer.owner = c;
-  c->stream = mr_stream_connect (client->loop, &c->host, target->ip, target->port);
+  c->stream = mr_stream_connect (client->loop, &c->handler, target->ip, target->port);
   if (!c->stream)
     {
-      mr_log (MR_LOG_WARNING, MR_EVENT_CONNECT_FAILED, "target %s: %s", target->id,
-              mr_status_message ());
+      mr_log (MR_LOG_WARNING, MR_EVENT_CONNECT_FAILED, "cannot connect to target %s: %s",
+              target->id, mr_status_message ());
       g_free (c);
       return NULL;
     }
   c->connecting = TRUE;
   c->parser = mr_http_parser_new (MR_HTTP_RESPONSE);
-  mr_http_parser_set_limits (c->parser, (MrHttpLimits){ .max_body_bytes = ANSWER_BYTES_MAX });
-  c->all_link.data = c;
-  g_queue_push_tail_link (&client->connections, &c->all_link);
+  mr_http_parser_set_limits (c->parser, (MrHttpLimits){ .max_body_bytes = RESPONSE_BODY_MAX });
+  c->link.data = c;
+  g_queue_push_tail_link (&client->connections, &c->link);
   mr_timers_set (client->timers, &c->timer, now + MR_CONNECT_TIMEOUT);
   client->counts.connections++;
   return c;
@@ -406,17 +410,17 @@
 static Connection *
 S_take_idle (MrTargetClient *client, MrTime now, const MrTargetCall *call)
 {
-  BudgetPool *pool = S_pool (client, call->target->id);
+  ConnectionPool *pool = S_get_pool (client, call->target->id);
   Connection *c = g_queue_peek_head (&pool->idle);
   if (!c)
     return NULL;
-  MrTime idle_for = now - (c->timer.due - c->idle_most);
-  if (!call->idempotent && idle_for > FRESH)
+  MrTime idle_for = now - (c->timer.due - c->idle_timeout);
+  if (!call->idempotent && idle_for > NON_IDEMPOTENT_REUSE_WINDOW)
     {
-      S_close (c); /* it makes room for a new one */
+      S_close (c); /* leaves room for a new connection */
       return NULL;
     }
-  S_leave_idle (c);
+  S_remove_from_idle (c);
   mr_timers_set (client->timers, &c->timer, MR_NEVER);
   client->counts.reused++;
   return c;
@@ -430,20 +434,20 @@
     c = S_connect (client, now, call->target);
   if (!c)
     {
-      g_array_append_val (client->failed, call->id);
+      g_array_append_val (client->failed_calls, call->id);
       return;
     }
   c->call_id = call->id;
-  c->sent_before = mr_stream_sent_bytes (c->stream);
+  c->sent_at_start = mr_stream_sent_bytes (c->stream);
   g_free (c->request_id);
   c->request_id = mr_text_dup (call->request_id);
   c->bodiless = call->bodiless;
-  c->part = call->is_part;
+  c->is_part = call->is_part;
   mr_http_parser_reset (c->parser);
   mr_http_parser_set_bodiless (c->parser, call->bodiless);
   g_hash_table_insert (client->calls, &c->call_id, c);
   if (c->connecting)
-    c->waiting = g_string_new_len (call->request.data, (gssize) call->request.len);
+    c->pending_request = g_string_new_len (call->request.data, (gssize) call->request.len);
   else
     mr_stream_write (c->stream, call->request);
 }
@@ -460,7 +464,7 @@
 mr_target_client_withdraw_call (MrTargetClient *client, guint64 id)
 {
   Connection *c = g_hash_table_lookup (client->calls, &id);
-  if (!c || mr_stream_sent_bytes (c->stream) > c->sent_before)
+  if (!c || mr_stream_sent_bytes (c->stream) > c->sent_at_start)
     return FALSE;
   S_close (c);
   return TRUE;
@@ -475,7 +479,7 @@
 void
 mr_target_client_reconnect (MrTargetClient *client, const MrTargetState *target)
 {
-  BudgetPool *pool = S_pool (client, target->id);
+  ConnectionPool *pool = S_get_pool (client, target->id);
   while (!g_queue_is_empty (&pool->idle))
     S_close (g_queue_peek_head (&pool->idle));
 }
@@ -490,10 +494,10 @@
 static void
 S_report_failed (MrTargetClient *client)
 {
-  for (guint count = client->failed->len; count > 0; count--)
+  for (guint count = client->failed_calls->len; count > 0; count--)
     {
-      guint64 id = g_array_index (client->failed, guint64, 0);
-      g_array_remove_index (client->failed, 0);
+      guint64 id = g_array_index (client->failed_calls, guint64, 0);
+      g_array_remove_index (client->failed_calls, 0);
       client->host->call_ended (client->host, id, MR_CALL_NOT_CONNECTED, NULL);
     }
 }
@@ -507,12 +511,12 @@
     {
       Connection *c = timer->owner;
       if (c->call_id)
-        S_break (c, MR_CALL_NOT_CONNECTED);
+        S_fail_call (c, MR_CALL_NOT_CONNECTED);
       else
         S_close (c);
     }
   MrTime next = mr_prober_tick (client->prober, now);
-  return client->failed->len > 0 ? now : MIN (next, mr_timers_next_due (client->timers));
+  return client->failed_calls->len > 0 ? now : MIN (next, mr_timers_next_due (client->timers));
 }
 
 MrTargetClientCounts
--- a/src/target_codec.c
+++ b/src/target_codec.c
@@ -8,36 +8,36 @@
 };
 
 char *
-mr_target_call_path (const MrShardCall *start, const char *prefix, MrTime now)
+mr_target_call_path (const MrShardCall *call, const char *id_prefix, MrTime now)
 {
-  const MrBatch *batch = start->batch;
-  gint64 left_ms = MAX ((batch->deadline - now) / MR_MS, 1);
+  const MrBatch *batch = call->batch;
+  gint64 remaining_ms = MAX ((batch->deadline - now) / MR_MS, 1);
   if (batch->is_order)
     return g_strdup_printf ("/v1/order?id=%s-%" G_GUINT64_FORMAT
                             "&ticket=%s&deadline_ms=%" G_GINT64_FORMAT,
-                            prefix, start->id, batch->ticket, left_ms);
+                            id_prefix, call->id, batch->ticket, remaining_ms);
   const MrShardMap *map = batch->map;
   g_autofree char *query = g_uri_escape_string (batch->payload->str, NULL, FALSE);
   return g_strdup_printf ("/v1/search?id=%s-%" G_GUINT64_FORMAT
                           "&snapshot=%s&shard=%s&k=%u&deadline_ms=%" G_GINT64_FORMAT "&q=%s",
-                          prefix, start->id, map->snapshot, map->shards[start->shard].name,
-                          batch->top_k, left_ms, query);
+                          id_prefix, call->id, map->snapshot, map->shards[call->shard].name,
+                          batch->top_k, remaining_ms, query);
 }
 
 static guint64
-S_read_id (const json_t *root, const char *prefix)
+S_parse_call_id (const json_t *root, const char *id_prefix)
 {
   MrText id = mr_text (json_string_value (json_object_get (root, "id")));
-  size_t len = strlen (prefix);
+  size_t len = strlen (id_prefix);
   guint64 number = 0;
-  if (id.len <= len + 1 || memcmp (id.data, prefix, len) != 0 || id.data[len] != '-')
+  if (id.len <= len + 1 || memcmp (id.data, id_prefix, len) != 0 || id.data[len] != '-')
     return 0;
   MrText digits = { .data = id.data + len + 1, .len = id.len - len - 1 };
   return mr_text_parse_u64 (digits, &number) ? number : 0;
 }
 
 static char *
-S_render (const void *source)
+S_render_json (const void *source)
 {
   char *text = source ? json_dumps (source, JSON_COMPACT | JSON_ENCODE_ANY) : NULL;
   char *copy = g_strdup (text ? text : "null");
@@ -46,7 +46,7 @@
 }
 
 static gboolean
-S_read_hit (const json_t *item, MrHit *hit)
+S_parse_hit (const json_t *item, MrHit *hit)
 {
   const char *key = json_string_value (json_object_get (item, "key"));
   const json_t *score = json_object_get (item, "score");
@@ -54,13 +54,13 @@
     return FALSE;
   hit->key = g_strdup (key);
   hit->score = json_number_value (score);
-  hit->render = S_render;
+  hit->render = S_render_json;
   hit->render_source = json_object_get (item, "data");
   return TRUE;
 }
 
 static void
-S_read_hits (const json_t *root, MrTargetReply *reply)
+S_parse_hits (const json_t *root, MrTargetReply *reply)
 {
   const json_t *list = json_object_get (root, "hits");
   size_t count = json_array_size (list);
@@ -71,15 +71,16 @@
     }
   reply->end.hits = g_new0 (MrHit, count + 1);
   for (size_t i = 0; i < count; i++)
-    if (S_read_hit (json_array_get (list, i), &reply->end.hits[reply->end.hit_count]))
+    if (S_parse_hit (json_array_get (list, i), &reply->end.hits[reply->end.hit_count]))
       reply->end.hit_count++;
     else
       reply->end.outcome = MR_CALL_ERROR;
 }
 
-/* A refusal counts as "did not run" only if the target says so itself. */
+/* Outcome of a response other than 200.  An order counts as not run only if the target states
+ * so. */
 static MrCallOutcome
-S_refusal (const json_t *root, gboolean order)
+S_classify_refusal (const json_t *root, gboolean is_order)
 {
   static const struct
   {
@@ -93,43 +94,43 @@
     { "cancelled", MR_CALL_CANCELLED },
   };
   const char *error = json_string_value (json_object_get (root, "error"));
-  if (order && !json_is_false (json_object_get (root, "ran")))
+  if (is_order && !json_is_false (json_object_get (root, "ran")))
     return MR_CALL_BROKEN;
   for (size_t i = 0; error && i < G_N_ELEMENTS (refusals); i++)
     if (g_str_equal (refusals[i].error, error))
       return refusals[i].outcome;
-  return order ? MR_CALL_BROKEN : MR_CALL_ERROR;
+  return is_order ? MR_CALL_BROKEN : MR_CALL_ERROR;
 }
 
 void
-mr_target_reply_parse (const MrHttpResponse *answer,
-                       gboolean order,
-                       const char *prefix,
+mr_target_reply_parse (const MrHttpResponse *response,
+                       gboolean is_order,
+                       const char *id_prefix,
                        MrTargetReply *reply)
 {
-  if (answer->outcome != MR_HTTP_OK)
+  if (response->outcome != MR_HTTP_OK)
     {
-      bool refused = answer->outcome == MR_HTTP_CONNECT_FAILED;
+      bool refused = response->outcome == MR_HTTP_CONNECT_FAILED;
       reply->end.outcome = refused ? MR_CALL_NOT_CONNECTED : MR_CALL_BROKEN;
       return;
     }
-  json_t *root = json_loadb (answer->body.data, answer->body.len, 0, NULL);
-  reply->end.outcome = order ? MR_CALL_BROKEN : MR_CALL_ERROR;
+  json_t *root = json_loadb (response->body.data, response->body.len, 0, NULL);
+  reply->end.outcome = is_order ? MR_CALL_BROKEN : MR_CALL_ERROR;
   reply->parsed = root;
   if (!json_is_object (root))
     return;
-  if (answer->status != 200)
-    reply->end.outcome = S_refusal (root, order);
+  if (response->status != 200)
+    reply->end.outcome = S_classify_refusal (root, is_order);
   else
     {
       reply->end.outcome = MR_CALL_ANSWER;
-      reply->end.echoed_id = S_read_id (root, prefix);
+      reply->end.echoed_id = S_parse_call_id (root, id_prefix);
       reply->end.echoed_snapshot = mr_text (json_string_value (json_object_get (root, "snapshot")));
       reply->end.echoed_shard = mr_text (json_string_value (json_object_get (root, "shard")));
-      if (order)
-        reply->end.order_reply = answer->body;
+      if (is_order)
+        reply->end.order_reply = response->body;
       else
-        S_read_hits (root, reply);
+        S_parse_hits (root, reply);
     }
 }
 
--- a/src/target_codec.h
+++ b/src/target_codec.h
@@ -1,4 +1,4 @@
-/* Requests to and answers of targets, as bytes (docs/TARGET-PROTOCOL.md). */
+/* Encodes calls to targets and decodes their responses (docs/TARGET-PROTOCOL.md). */
 #pragma once
 
 #include "dispatch.h"
@@ -7,16 +7,17 @@
 typedef struct
 {
   MrCallResult end;
-  void *parsed; /* what end's texts and hits borrow */
+  void *parsed; /* JSON value that the texts and hits of end refer to */
 } MrTargetReply;
 
-/* Path and query string of a call; @prefix: first digits of the incarnation. */
-char *mr_target_call_path (const MrShardCall *start, const char *prefix, MrTime now);
+/* Returns the path and query string of a call.  @id_prefix: first digits of the incarnation,
+ * with which call ids start. */
+char *mr_target_call_path (const MrShardCall *call, const char *id_prefix, MrTime now);
 
-/* Reads a target's answer to a call; anything malformed is MR_CALL_ERROR, for
- * an order MR_CALL_BROKEN, since nothing is known of it then. */
-void mr_target_reply_parse (const MrHttpResponse *answer,
-                            gboolean order,
-                            const char *prefix,
+/* Decodes a target's response to a call.  A malformed one is MR_CALL_ERROR; for an order it is
+ * MR_CALL_BROKEN, as it does not tell whether the order ran. */
+void mr_target_reply_parse (const MrHttpResponse *response,
+                            gboolean is_order,
+                            const char *id_prefix,
                             MrTargetReply *reply);
 void mr_target_reply_clear (MrTargetReply *reply);
--- a/src/target_record.c
+++ b/src/target_record.c
@@ -5,7 +5,7 @@
 
 enum
 {
-  /* Bounds for what another writer may have put there. */
+  /* Limits on values, as a record may have been written by another program. */
   SLOTS_MAX = 10000,
   COLD_MS_MAX = 600000,
 };
@@ -27,25 +27,26 @@
 }
 
 static guint64
-S_started (const json_t *root)
+S_start_time (const json_t *root)
 {
   json_int_t started = json_integer_value (json_object_get (root, "started"));
   return started > 0 ? (guint64) started : 0;
 }
 
 static MrStatus
-S_read (const json_t *root, MrTargetRecord *record)
+S_parse_fields (const json_t *root, MrTargetRecord *record)
 {
   const char *service = json_string_value (json_object_get (root, "service"));
   const char *address = json_string_value (json_object_get (root, "address"));
   const char *domain = json_string_value (json_object_get (root, "domain"));
   if (!service || !address || !domain)
-    return mr_fail (MR_ERROR_INVALID, "target: service, address or domain is missing");
+    return mr_fail (MR_ERROR_INVALID, "target record: service, address or domain is missing");
   g_autofree char *ip = NULL;
   if (mr_settings_split_address (address, &ip, &record->target.port) != MR_OK)
     return MR_ERROR_INVALID;
   if (!g_hostname_is_ip_address (ip))
-    return mr_fail (MR_ERROR_INVALID, "target: address '%.60s' is no IP address", address);
+    return mr_fail (MR_ERROR_INVALID, "target record: host of address '%.60s' is not an IP address",
+                    address);
   record->service = g_strdup (service);
   g_strlcpy (record->target.ip, ip, sizeof record->target.ip);
   g_strlcpy (record->target.domain, domain, sizeof record->target.domain);
@@ -53,10 +54,11 @@
   const json_t *leaving = json_object_get (root, "leaving");
   const json_t *cold_ms = json_object_get (root, "cold_ms");
   if (!json_is_integer (slots) || !json_is_boolean (leaving) || !json_is_integer (cold_ms))
-    return mr_fail (MR_ERROR_INVALID, "target: slots, leaving or cold_ms is of another type");
+    return mr_fail (MR_ERROR_INVALID,
+                    "target record: expected integers slots and cold_ms and Boolean leaving");
   record->target.slots = (guint) CLAMP (json_integer_value (slots), 1, SLOTS_MAX);
   record->target.connections = record->target.slots;
-  record->target.started = S_started (root);
+  record->target.started = S_start_time (root);
   record->leaving = json_is_true (leaving);
   record->cold_remaining = CLAMP (json_integer_value (cold_ms), 0, COLD_MS_MAX) * MR_MS;
   return MR_OK;
@@ -66,7 +68,7 @@
 mr_target_record_start_time (MrText json)
 {
   json_t *root = json.len > 0 ? json_loadb (json.data, json.len, 0, NULL) : NULL;
-  guint64 started = S_started (root);
+  guint64 started = S_start_time (root);
   json_decref (root);
   return started;
 }
@@ -78,14 +80,15 @@
   json_t *root = json_loadb (json.data, json.len, 0, &error);
   if (!root || id.len == 0 || id.len > MR_NAME_MAX)
     {
-      mr_fail (MR_ERROR_INVALID, "target: no valid JSON, or no id of 1 to %d bytes", MR_NAME_MAX);
+      mr_fail (MR_ERROR_INVALID, "target record: invalid JSON, or an id not of 1 to %d bytes",
+               MR_NAME_MAX);
       json_decref (root);
       return NULL;
     }
   MrTargetRecord *record = g_new0 (MrTargetRecord, 1);
   record->refs = 1;
   memcpy (record->target.id, id.data, id.len);
-  MrStatus status = S_read (root, record);
+  MrStatus status = S_parse_fields (root, record);
   json_decref (root);
   if (status == MR_OK)
     return record;
--- a/src/target_record.h
+++ b/src/target_record.h
@@ -1,5 +1,5 @@
-/* What the platform's list says of one target: an immutable record, shared by
- * reference count, in JSON between daemons. */
+/* Record of one target in the platform's list: immutable, shared by reference count, passed
+ * between daemons as JSON. */
 #pragma once
 
 #include "clock.h"
@@ -11,16 +11,18 @@
 {
   int refs; /* atomic */
   char *service;
-  MrTarget target; /* a process of it: the id, with the start where that is told */
+  MrTarget target; /* identifies a process: by the id, and by the start time if that is known */
   gboolean leaving;
-  MrTime cold_remaining; /* slow for this long yet, when the record was written */
+  /* How long the target remains cold (slow after a start), from when the record was written. */
+  MrTime cold_remaining;
 } MrTargetRecord;
 
-/* Reads the JSON form; NULL with a message. */
+/* Parses the JSON form; returns NULL and sets the status message on error. */
 MrTargetRecord *mr_target_record_parse (MrText id, MrText json);
-/* When the process that @json names started, Unix ms; 0: not told, or no record. */
+/* Start time (Unix ms) of the process that @json describes; 0 if it is not stated or @json is
+ * not valid. */
 guint64 mr_target_record_start_time (MrText json);
-/* Writes it; freed with g_free (). */
+/* Serializes @record; the result is freed with g_free (). */
 char *mr_target_record_to_json (const MrTargetRecord *record);
 MrTargetRecord *mr_target_record_ref (MrTargetRecord *record);
 void mr_target_record_unref (MrTargetRecord *record);
--- a/src/target_table.c
+++ b/src/target_table.c
@@ -85,7 +85,8 @@
       change->record = record ? mr_target_record_ref (record) : NULL;
       g_ptr_array_add (changes, change);
     }
-  /* A new set: after a start it would keep the room for all. */
+  /* Start a new set: the old one would keep the capacity that it needed for all targets at
+   * startup. */
   g_hash_table_unref (table->changed);
   table->changed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   return changes;
--- a/src/target_task.c
+++ b/src/target_task.c
@@ -10,54 +10,54 @@
 
 enum
 {
-  LANES = 64, /* connections to one target, old ones after a renewal included */
-  PREFIX = 8, /* hex digits of the incarnation in call ids */
+  CONNECTION_SLOTS = 64, /* connections to one target, including old ones after a reconnect */
+  ID_PREFIX_LENGTH = 8,  /* hex digits of the incarnation that call ids start with */
 };
 
-/* A cancelled call that is neither answered nor confirmed by then is closed. */
-static const MrTime CANCEL_WAIT = 50 * MR_MS;
-static const MrTime PROBE_WAIT = 300 * MR_MS;
+/* A cancelled call that is neither answered nor confirmed within this time is closed. */
+static const MrTime CANCEL_TIMEOUT = 50 * MR_MS;
+static const MrTime PROBE_TIMEOUT = 300 * MR_MS;
 
-/* Connections to one target. */
+/* Connections to one target, one for each connection slot of the HTTP client. */
 typedef struct
 {
   char *key;
-  guint first; /* lane that the current generation of connections starts at */
-  gboolean busy[LANES];
-} Link;
+  guint first_slot; /* first slot of the connections opened since the last reconnect */
+  gboolean busy[CONNECTION_SLOTS];
+} SlotSet;
 
 typedef struct
 {
   MrTargetTask *task;
   guint64 id;
-  Link *link;
-  guint lane;
+  SlotSet *slots;
+  guint slot;
   MrHttpCall *call;
-  MrTime give_up_at; /* MR_NEVER until cancelled */
+  MrTime timeout_at; /* MR_NEVER unless cancelled */
   char *ip;
   int port;
-  gboolean order;
+  gboolean is_order;
   char *path;
   GString *body; /* of an order */
 } Exchange;
 
-/* A probe or a cancellation under way: bounded in time like a call. */
+/* Auxiliary request in progress: a probe or a cancellation, with a timeout like a call. */
 typedef struct
 {
   MrTargetTask *task;
-  Link *link;
+  SlotSet *slots;
   MrHttpCall *call; /* NULL: not sent yet */
   gboolean probe;
-  guint lane; /* of a cancellation */
-  MrTime give_up_at;
+  guint slot; /* of a cancellation */
+  MrTime timeout_at;
   char *ip;
   int port;
   char *path;
-} Errand;
+} AuxRequest;
 
 struct _MrTargetTask
 {
-  MrLoopHandler loop_host;
+  MrLoopHandler loop_handler;
   MrDispatchHost dispatch_host;
   MrLoop *loop;
   MrHttpClient *client;
@@ -65,37 +65,37 @@
   MrMailbox *entry;
   MrMailbox *control;
   char name[MR_NAME_MAX + 1];
-  char prefix[PREFIX + 1];
-  GHashTable *links;     /* key -> Link */
-  GHashTable *exchanges; /* call id -> Exchange */
-  GHashTable *origins;   /* local batch id -> MrOrigin */
-  GQueue starting;       /* Exchange: to be sent by the next tick */
-  GPtrArray *errands;    /* Errand */
-  guint64 last_batch;
-  GHashTable *leaving; /* as told to the dispatcher */
+  char prefix[ID_PREFIX_LENGTH + 1];
+  GHashTable *slot_sets;   /* target key -> SlotSet */
+  GHashTable *exchanges;   /* call id -> Exchange */
+  GHashTable *origins;     /* local batch id -> MrOrigin */
+  GQueue send_queue;       /* Exchange, to be sent by the next tick */
+  GPtrArray *aux_requests; /* AuxRequest */
+  guint64 last_batch_id;
+  GHashTable *leaving_targets; /* set of target keys, as reported to the dispatcher */
 };
 
 #define TASK_OF_DISPATCH_HOST(host)                                                                \
   ((MrTargetTask *) (void *) ((char *) (host) -offsetof (MrTargetTask, dispatch_host)))
 
-static Link *
-S_link (MrTargetTask *task, const char *key)
+static SlotSet *
+S_get_slots (MrTargetTask *task, const char *key)
 {
-  Link *link = g_hash_table_lookup (task->links, key);
-  if (link)
-    return link;
-  link = g_new0 (Link, 1);
-  link->key = g_strdup (key);
-  g_hash_table_insert (task->links, link->key, link);
-  return link;
+  SlotSet *slots = g_hash_table_lookup (task->slot_sets, key);
+  if (slots)
+    return slots;
+  slots = g_new0 (SlotSet, 1);
+  slots->key = g_strdup (key);
+  g_hash_table_insert (task->slot_sets, slots->key, slots);
+  return slots;
 }
 
 static void
-S_link_free (gpointer data)
+S_slots_free (gpointer data)
 {
-  Link *link = data;
-  g_free (link->key);
-  g_free (link);
+  SlotSet *slots = data;
+  g_free (slots->key);
+  g_free (slots);
 }
 
 static void
@@ -110,175 +110,175 @@
 }
 
 static void
-S_errand_free (gpointer data)
+S_aux_free (gpointer data)
 {
-  Errand *errand = data;
-  g_free (errand->ip);
-  g_free (errand->path);
-  g_free (errand);
+  AuxRequest *aux = data;
+  g_free (aux->ip);
+  g_free (aux->path);
+  g_free (aux);
 }
 
-/* Lowest free lane of the current generation, so that few connections stay
- * warm; LANES if all are busy. */
+/* First free connection slot, counted from first_slot, so that calls share few connections and
+ * keep them warm; CONNECTION_SLOTS if all are busy. */
 static guint
-S_free_lane (const Link *link)
+S_find_free_slot (const SlotSet *slots)
 {
-  for (guint i = 0; i < LANES; i++)
+  for (guint i = 0; i < CONNECTION_SLOTS; i++)
     {
-      guint lane = (link->first + i) % LANES;
-      if (!link->busy[lane])
-        return lane;
+      guint slot = (slots->first_slot + i) % CONNECTION_SLOTS;
+      if (!slots->busy[slot])
+        return slot;
     }
-  return LANES;
+  return CONNECTION_SLOTS;
 }
 
-/* Reports the end of @exchange, which is freed.  FALSE if the answer was not for
- * its call: the connection is out of step and must not be used again. */
+/* Reports the end of @exchange, which is freed.  Returns FALSE if the response was not for its
+ * call: the connection is out of sync and must not be reused. */
 static gboolean
-S_report (Exchange *exchange, MrCallResult *end)
+S_end_exchange (Exchange *exchange, MrCallResult *result)
 {
   MrTargetTask *task = exchange->task;
-  end->id = exchange->id;
-  if (exchange->lane < LANES)
-    exchange->link->busy[exchange->lane] = FALSE;
-  g_hash_table_remove (task->exchanges, &end->id);
-  return mr_dispatch_call_end (task->dispatch, mr_now (), end);
+  result->id = exchange->id;
+  if (exchange->slot < CONNECTION_SLOTS)
+    exchange->slots->busy[exchange->slot] = FALSE;
+  g_hash_table_remove (task->exchanges, &result->id);
+  return mr_dispatch_call_end (task->dispatch, mr_now (), result);
 }
 
 static gboolean
-S_call_done (void *user, const MrHttpResponse *answer)
+S_on_call_done (void *user, const MrHttpResponse *response)
 {
   Exchange *exchange = user;
   MrTargetReply reply = { 0 };
-  mr_target_reply_parse (answer, exchange->order, exchange->task->prefix, &reply);
-  gboolean keep = S_report (exchange, &reply.end);
+  mr_target_reply_parse (response, exchange->is_order, exchange->task->prefix, &reply);
+  gboolean keep = S_end_exchange (exchange, &reply.end);
   mr_target_reply_clear (&reply);
   return keep;
 }
 
-/* Calls are decided on in the middle of a callback of libwebsockets, where the
- * connection that has just ended a call can't take another yet; they go out in
- * the tick that follows. */
+/* The dispatcher may start a call from within a callback of libwebsockets, when the connection
+ * whose call has just ended cannot take another yet.  Calls are therefore queued and sent by
+ * the next tick. */
 static void
-S_start_call (MrDispatchHost *host, const MrShardCall *start)
+S_queue_call (MrDispatchHost *host, const MrShardCall *shard_call)
 {
   MrTargetTask *task = TASK_OF_DISPATCH_HOST (host);
-  Link *link = S_link (task, start->target->key);
+  SlotSet *slots = S_get_slots (task, shard_call->target->key);
   Exchange *exchange = g_new0 (Exchange, 1);
   *exchange = (Exchange){
     .task = task,
-    .id = start->id,
-    .link = link,
-    .lane = LANES,
-    .give_up_at = MR_NEVER,
-    .ip = g_strdup (start->target->ip),
-    .port = start->target->port,
-    .order = start->batch->is_order,
-    .path = mr_target_call_path (start, task->prefix, mr_now ()),
+    .id = shard_call->id,
+    .slots = slots,
+    .slot = CONNECTION_SLOTS,
+    .timeout_at = MR_NEVER,
+    .ip = g_strdup (shard_call->target->ip),
+    .port = shard_call->target->port,
+    .is_order = shard_call->batch->is_order,
+    .path = mr_target_call_path (shard_call, task->prefix, mr_now ()),
   };
-  if (exchange->order)
-    exchange->body =
-        g_string_new_len (start->batch->payload->str, (gssize) start->batch->payload->len);
+  if (exchange->is_order)
+    exchange->body = g_string_new_len (shard_call->batch->payload->str,
+                                       (gssize) shard_call->batch->payload->len);
   g_hash_table_insert (task->exchanges, &exchange->id, exchange);
-  g_queue_push_tail (&task->starting, exchange);
+  g_queue_push_tail (&task->send_queue, exchange);
 }
 
-/* Sends @exchange, or reports that it could not be. */
+/* Sends @exchange, or reports that it could not be sent. */
 static void
 S_send_call (MrTargetTask *task, Exchange *exchange)
 {
   gboolean maybe_sent = FALSE;
-  exchange->lane = S_free_lane (exchange->link);
-  mr_metrics_add (exchange->order ? MR_METRIC_ORDER_CALLS : MR_METRIC_SHARD_CALLS, 1);
-  if (exchange->lane < LANES)
+  exchange->slot = S_find_free_slot (exchange->slots);
+  mr_metrics_add (exchange->is_order ? MR_METRIC_ORDER_CALLS : MR_METRIC_SHARD_CALLS, 1);
+  if (exchange->slot < CONNECTION_SLOTS)
     {
       MrHttpCallInfo info = {
-        .method = exchange->order ? "POST" : "GET",
+        .method = exchange->is_order ? "POST" : "GET",
         .ip = exchange->ip,
         .port = exchange->port,
-        .connection_slot = exchange->lane,
+        .connection_slot = exchange->slot,
         .path = exchange->path,
         .body = exchange->body ? mr_text_of (exchange->body) : (MrText){ 0 },
-        .on_response = S_call_done,
+        .on_response = S_on_call_done,
         .user = exchange,
       };
       exchange->call = mr_http_client_call (task->client, &info, &maybe_sent);
     }
   if (exchange->call)
     {
-      exchange->link->busy[exchange->lane] = TRUE;
+      exchange->slots->busy[exchange->slot] = TRUE;
       return;
     }
-  MrCallResult end = { .outcome = maybe_sent ? MR_CALL_BROKEN : MR_CALL_NOT_CONNECTED };
-  exchange->lane = LANES;
-  S_report (exchange, &end);
+  MrCallResult result = { .outcome = maybe_sent ? MR_CALL_BROKEN : MR_CALL_NOT_CONNECTED };
+  exchange->slot = CONNECTION_SLOTS;
+  S_end_exchange (exchange, &result);
 }
 
-/* Ends @errand, which is freed. */
+/* Ends @aux, which is freed. */
 static void
-S_end_errand (Errand *errand, gboolean answered)
+S_end_aux (AuxRequest *aux, gboolean answered)
 {
-  MrTargetTask *task = errand->task;
-  Link *link = errand->link;
-  gboolean probe = errand->probe;
+  MrTargetTask *task = aux->task;
+  SlotSet *slots = aux->slots;
+  gboolean probe = aux->probe;
   if (!probe)
-    link->busy[errand->lane] = FALSE;
-  g_ptr_array_remove_fast (task->errands, errand);
+    slots->busy[aux->slot] = FALSE;
+  g_ptr_array_remove_fast (task->aux_requests, aux);
   if (probe)
-    mr_dispatch_probe_end (task->dispatch, mr_now (), link->key, answered);
+    mr_dispatch_probe_end (task->dispatch, mr_now (), slots->key, answered);
 }
 
 static gboolean
-S_errand_done (void *user, const MrHttpResponse *answer)
+S_on_aux_done (void *user, const MrHttpResponse *response)
 {
-  S_end_errand (user, answer->outcome == MR_HTTP_OK && answer->status == 200);
+  S_end_aux (user, response->outcome == MR_HTTP_OK && response->status == 200);
   return TRUE;
 }
 
 static void
-S_start_errand (MrTargetTask *task, Errand *errand, const char *ip, int port, const char *path)
+S_queue_aux (MrTargetTask *task, AuxRequest *aux, const char *ip, int port, const char *path)
 {
-  g_ptr_array_add (task->errands, errand);
-  errand->task = task;
-  errand->ip = g_strdup (ip);
-  errand->port = port;
-  errand->path = g_strdup (path);
+  g_ptr_array_add (task->aux_requests, aux);
+  aux->task = task;
+  aux->ip = g_strdup (ip);
+  aux->port = port;
+  aux->path = g_strdup (path);
 }
 
-/* FALSE if it could not be sent. */
+/* Returns FALSE if the request could not be sent. */
 static gboolean
-S_send_errand (MrTargetTask *task, Errand *errand)
+S_send_aux (MrTargetTask *task, AuxRequest *aux)
 {
   MrHttpCallInfo info = {
     .method = "GET",
-    .ip = errand->ip,
-    .port = errand->port,
-    .connection_slot = errand->lane,
-    .new_connection = errand->probe,
-    .path = errand->path,
-    .on_response = S_errand_done,
-    .user = errand,
+    .ip = aux->ip,
+    .port = aux->port,
+    .connection_slot = aux->slot,
+    .new_connection = aux->probe,
+    .path = aux->path,
+    .on_response = S_on_aux_done,
+    .user = aux,
   };
-  errand->call = mr_http_client_call (task->client, &info, NULL);
-  return errand->call != NULL;
+  aux->call = mr_http_client_call (task->client, &info, NULL);
+  return aux->call != NULL;
 }
 
-/* Asks the target to stop @exchange's work, on another connection; its answer,
- * "cancelled" or whole, then frees the connection for use. */
+/* Asks the target, on another connection, to stop working on @exchange.  The target then ends
+ * the call with "cancelled" or a complete response, after which the connection can be reused. */
 static void
 S_send_cancel (MrTargetTask *task, const Exchange *exchange)
 {
-  guint lane = S_free_lane (exchange->link);
-  if (lane == LANES)
+  guint slot = S_find_free_slot (exchange->slots);
+  if (slot == CONNECTION_SLOTS)
     return;
-  exchange->link->busy[lane] = TRUE;
-  Errand *errand = g_new0 (Errand, 1);
-  errand->link = exchange->link;
-  errand->lane = lane;
-  errand->give_up_at = mr_now () + CANCEL_WAIT;
+  exchange->slots->busy[slot] = TRUE;
+  AuxRequest *aux = g_new0 (AuxRequest, 1);
+  aux->slots = exchange->slots;
+  aux->slot = slot;
+  aux->timeout_at = mr_now () + CANCEL_TIMEOUT;
   g_autofree char *path =
       g_strdup_printf ("/v1/cancel?id=%s-%" G_GUINT64_FORMAT, task->prefix, exchange->id);
-  S_start_errand (task, errand, exchange->ip, exchange->port, path);
+  S_queue_aux (task, aux, exchange->ip, exchange->port, path);
 }
 
 static void
@@ -286,17 +286,17 @@
 {
   MrTargetTask *task = TASK_OF_DISPATCH_HOST (host);
   Exchange *exchange = g_hash_table_lookup (task->exchanges, &id);
-  if (!exchange || exchange->give_up_at != MR_NEVER)
+  if (!exchange || exchange->timeout_at != MR_NEVER)
     return;
   if (!exchange->call)
     {
-      exchange->give_up_at = 0; /* not sent yet: ended by the next tick */
-      g_queue_remove (&task->starting, exchange);
+      exchange->timeout_at = 0; /* not sent yet: the next tick ends it */
+      g_queue_remove (&task->send_queue, exchange);
       return;
     }
-  exchange->give_up_at = mr_now () + CANCEL_WAIT;
+  exchange->timeout_at = mr_now () + CANCEL_TIMEOUT;
   mr_metrics_add (MR_METRIC_CANCELS, 1);
-  if (!exchange->order)
+  if (!exchange->is_order)
     S_send_cancel (task, exchange);
 }
 
@@ -304,33 +304,34 @@
 S_probe (MrDispatchHost *host, const MrTargetState *target)
 {
   MrTargetTask *task = TASK_OF_DISPATCH_HOST (host);
-  Errand *errand = g_new0 (Errand, 1);
-  errand->link = S_link (task, target->key);
-  errand->probe = TRUE;
-  errand->give_up_at = mr_now () + PROBE_WAIT;
+  AuxRequest *aux = g_new0 (AuxRequest, 1);
+  aux->slots = S_get_slots (task, target->key);
+  aux->probe = TRUE;
+  aux->timeout_at = mr_now () + PROBE_TIMEOUT;
   mr_metrics_add (MR_METRIC_PROBES, 1);
-  S_start_errand (task, errand, target->ip, target->port, "/v1/health");
+  S_queue_aux (task, aux, target->ip, target->port, "/v1/health");
 }
 
-/* Old connections may be lost for good without a sign.  Idle ones are closed, or
- * they would count against the target's cap; new calls take lanes not in use
- * before, so each opens a connection. */
+/* Existing connections may be dead without any sign of it.  Idle ones are closed, as they would
+ * count against the connection limit of the target.  New calls take connection slots that were
+ * not in use, so that each opens a new connection. */
 static void
-S_renew (MrDispatchHost *host, const MrTargetState *target)
+S_reconnect (MrDispatchHost *host, const MrTargetState *target)
 {
   MrTargetTask *task = TASK_OF_DISPATCH_HOST (host);
-  Link *link = S_link (task, target->key);
-  for (guint lane = 0; lane < LANES; lane++)
-    if (!link->busy[lane])
-      mr_http_client_close_idle (task->client, target->ip, target->port, lane);
-  link->first = (link->first + mr_concurrency_limit_calls (&target->limit) + 1) % LANES;
+  SlotSet *slots = S_get_slots (task, target->key);
+  for (guint slot = 0; slot < CONNECTION_SLOTS; slot++)
+    if (!slots->busy[slot])
+      mr_http_client_close_idle (task->client, target->ip, target->port, slot);
+  slots->first_slot =
+      (slots->first_slot + mr_concurrency_limit_calls (&target->limit) + 1) % CONNECTION_SLOTS;
   mr_metrics_add (MR_METRIC_RENEWALS, 1);
-  mr_log (MR_LOG_NOTICE, MR_EVENT_CONNECTION_SILENT, "target %s: idle connections are replaced",
+  mr_log (MR_LOG_NOTICE, MR_EVENT_CONNECTION_SILENT, "target %s: replacing idle connections",
           target->id);
 }
 
 static void
-S_done (MrDispatchHost *host, MrPartial *partial)
+S_send_partial (MrDispatchHost *host, MrPartial *partial)
 {
   MrTargetTask *task = TASK_OF_DISPATCH_HOST (host);
   MrOrigin *origin = g_hash_table_lookup (task->origins, &partial->batch_id);
@@ -355,7 +356,7 @@
 }
 
 static void
-S_evidence (MrDispatchHost *host, MrFingerprint content, const MrEvidence *evidence)
+S_send_evidence (MrDispatchHost *host, MrFingerprint content, const MrEvidence *evidence)
 {
   mr_mailbox_post (TASK_OF_DISPATCH_HOST (host)->control,
                    &mr_evidence_message_new (content, evidence)->base);
@@ -369,7 +370,7 @@
   return copy;
 }
 
-/* Batches of several roots share one dispatcher; each gets a number of ours. */
+/* Each root numbers its own batches, so every batch gets an id that is unique in this task. */
 static void
 S_on_submit (MrTargetTask *task, MrSubmitMessage *message)
 {
@@ -378,14 +379,14 @@
   MrOrigin *origin = g_new (MrOrigin, 1);
   *origin = message->origin;
   origin->batch_id = batch->id;
-  batch->id = ++task->last_batch;
+  batch->id = ++task->last_batch_id;
   g_hash_table_insert (task->origins, S_local_id_new (batch->id), origin);
   mr_metrics_add (MR_METRIC_BATCHES, 1);
   mr_dispatch_submit (task->dispatch, mr_now (), batch);
 }
 
 static void
-S_on_forget (MrTargetTask *task, const MrCancelBatchMessage *message)
+S_on_cancel_batch (MrTargetTask *task, const MrCancelBatchMessage *message)
 {
   GHashTableIter iter;
   gpointer key = NULL;
@@ -411,7 +412,7 @@
   gpointer key = NULL;
   MrTime now = mr_now ();
   mr_dispatch_set_evacuated (task->dispatch, now, view->evacuated_domains);
-  g_hash_table_iter_init (&iter, task->leaving);
+  g_hash_table_iter_init (&iter, task->leaving_targets);
   while (g_hash_table_iter_next (&iter, &key, NULL))
     if (!g_hash_table_contains (view->leaving_targets, key))
       {
@@ -420,7 +421,7 @@
       }
   g_hash_table_iter_init (&iter, view->leaving_targets);
   while (g_hash_table_iter_next (&iter, &key, NULL))
-    if (g_hash_table_add (task->leaving, g_strdup (key)))
+    if (g_hash_table_add (task->leaving_targets, g_strdup (key)))
       mr_dispatch_set_target_leaving (task->dispatch, now, key, true);
 }
 
@@ -458,16 +459,16 @@
 }
 
 static void
-S_on_message (MrLoopHandler *host, MrMessage *message)
+S_on_message (MrLoopHandler *handler, MrMessage *message)
 {
-  MrTargetTask *task = (MrTargetTask *) host;
+  MrTargetTask *task = (MrTargetTask *) handler;
   switch (message->type)
     {
     case MR_MESSAGE_SUBMIT:
       S_on_submit (task, (MrSubmitMessage *) message);
       break;
     case MR_MESSAGE_CANCEL_BATCH:
-      S_on_forget (task, (MrCancelBatchMessage *) message);
+      S_on_cancel_batch (task, (MrCancelBatchMessage *) message);
       break;
     case MR_MESSAGE_VIEW:
       S_on_view (task, ((MrViewMessage *) message)->view);
@@ -487,96 +488,97 @@
 static void
 S_send_calls (MrTargetTask *task)
 {
-  for (Exchange *e = g_queue_pop_head (&task->starting); e; e = g_queue_pop_head (&task->starting))
+  for (Exchange *e = g_queue_pop_head (&task->send_queue); e;
+       e = g_queue_pop_head (&task->send_queue))
     S_send_call (task, e);
 }
 
-/* Closes cancelled calls that got no answer in time. */
+/* Closes cancelled calls that were not answered in time. */
 static MrTime
-S_close_overdue (MrTargetTask *task, MrTime now)
+S_close_timed_out (MrTargetTask *task, MrTime now)
 {
   MrTime next = MR_NEVER;
-  g_autoptr (GPtrArray) overdue = g_ptr_array_new ();
+  g_autoptr (GPtrArray) timed_out = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer item = NULL;
   g_hash_table_iter_init (&iter, task->exchanges);
   while (g_hash_table_iter_next (&iter, NULL, &item))
     {
       Exchange *exchange = item;
-      if (now >= exchange->give_up_at)
-        g_ptr_array_add (overdue, exchange);
-      else if (exchange->give_up_at != MR_NEVER)
-        next = MIN (next, exchange->give_up_at);
+      if (now >= exchange->timeout_at)
+        g_ptr_array_add (timed_out, exchange);
+      else if (exchange->timeout_at != MR_NEVER)
+        next = MIN (next, exchange->timeout_at);
     }
-  for (guint i = 0; i < overdue->len; i++)
+  for (guint i = 0; i < timed_out->len; i++)
     {
-      Exchange *exchange = g_ptr_array_index (overdue, i);
-      MrCallResult end = { .outcome = exchange->call ? MR_CALL_SILENT : MR_CALL_CANCELLED };
+      Exchange *exchange = g_ptr_array_index (timed_out, i);
+      MrCallResult result = { .outcome = exchange->call ? MR_CALL_SILENT : MR_CALL_CANCELLED };
       if (exchange->call)
         {
           mr_http_client_abort (exchange->call);
           mr_metrics_add (MR_METRIC_CONNECTIONS_CLOSED, 1);
         }
-      S_report (exchange, &end);
+      S_end_exchange (exchange, &result);
     }
   return next;
 }
 
 static MrTime
-S_tick_errands (MrTargetTask *task, MrTime now)
+S_tick_aux_requests (MrTargetTask *task, MrTime now)
 {
   MrTime next = MR_NEVER;
-  for (guint i = task->errands->len; i > 0; i--)
+  for (guint i = task->aux_requests->len; i > 0; i--)
     {
-      Errand *errand = g_ptr_array_index (task->errands, i - 1);
-      gboolean sent = errand->call || S_send_errand (task, errand);
-      if (sent && now < errand->give_up_at)
+      AuxRequest *aux = g_ptr_array_index (task->aux_requests, i - 1);
+      gboolean sent = aux->call || S_send_aux (task, aux);
+      if (sent && now < aux->timeout_at)
         {
-          next = MIN (next, errand->give_up_at);
+          next = MIN (next, aux->timeout_at);
           continue;
         }
-      if (errand->call)
-        mr_http_client_abort (errand->call);
-      S_end_errand (errand, FALSE);
+      if (aux->call)
+        mr_http_client_abort (aux->call);
+      S_end_aux (aux, FALSE);
     }
   return next;
 }
 
 static MrTime
-S_on_tick (MrLoopHandler *host, MrTime now)
+S_on_tick (MrLoopHandler *handler, MrTime now)
 {
-  MrTargetTask *task = (MrTargetTask *) host;
-  MrTime overdue = S_close_overdue (task, now);
+  MrTargetTask *task = (MrTargetTask *) handler;
+  MrTime next_timeout = S_close_timed_out (task, now);
   MrTime next = mr_dispatch_tick (task->dispatch, now);
   S_send_calls (task);
-  MrTime errands = S_tick_errands (task, now);
+  MrTime next_aux = S_tick_aux_requests (task, now);
   mr_metrics_set_dispatch (mr_dispatch_counts (task->dispatch));
   mr_metrics_set_open_batches (mr_dispatch_batch_count (task->dispatch));
-  if (!g_queue_is_empty (&task->starting))
+  if (!g_queue_is_empty (&task->send_queue))
     return now;
-  return MIN (next, MIN (overdue, errands));
+  return MIN (next, MIN (next_timeout, next_aux));
 }
 
 MrTargetTask *
 mr_target_task_new (const MrTargetTaskInfo *info)
 {
   MrTargetTask *task = g_new0 (MrTargetTask, 1);
-  task->loop_host = (MrLoopHandler){ .on_message = S_on_message, .on_tick = S_on_tick };
+  task->loop_handler = (MrLoopHandler){ .on_message = S_on_message, .on_tick = S_on_tick };
   task->dispatch_host = (MrDispatchHost){
-    .start_call = S_start_call,
+    .start_call = S_queue_call,
     .cancel_call = S_cancel_call,
     .probe = S_probe,
-    .reconnect = S_renew,
-    .deliver_partial = S_done,
-    .publish_evidence = S_evidence,
+    .reconnect = S_reconnect,
+    .deliver_partial = S_send_partial,
+    .publish_evidence = S_send_evidence,
   };
-  task->loop = mr_loop_new (&task->loop_host, info->max_connections);
+  task->loop = mr_loop_new (&task->loop_handler, info->max_connections);
   if (!task->loop)
     {
       g_free (task);
       return NULL;
     }
-  task->client = mr_http_client_new (task->loop, LANES);
+  task->client = mr_http_client_new (task->loop, CONNECTION_SLOTS);
   MrDispatchInfo dispatch = {
     .seed = info->seed,
     .content_key = info->content_key,
@@ -585,12 +587,12 @@
   task->dispatch = mr_dispatch_new (&task->dispatch_host, &dispatch);
   g_strlcpy (task->name, info->name, sizeof task->name);
   g_strlcpy (task->prefix, info->incarnation, sizeof task->prefix);
-  task->links = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, S_link_free);
+  task->slot_sets = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, S_slots_free);
   task->exchanges = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, S_exchange_free);
   task->origins = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  task->leaving = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  task->errands = g_ptr_array_new_with_free_func (S_errand_free);
-  g_queue_init (&task->starting);
+  task->leaving_targets = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  task->aux_requests = g_ptr_array_new_with_free_func (S_aux_free);
+  g_queue_init (&task->send_queue);
   return task;
 }
 
@@ -612,21 +614,21 @@
   while (g_hash_table_iter_next (&iter, NULL, &item))
     if (((Exchange *) item)->call)
       mr_http_client_abort (((Exchange *) item)->call);
-  for (guint i = 0; i < task->errands->len; i++)
+  for (guint i = 0; i < task->aux_requests->len; i++)
     {
-      Errand *errand = g_ptr_array_index (task->errands, i);
-      if (errand->call)
-        mr_http_client_abort (errand->call);
+      AuxRequest *aux = g_ptr_array_index (task->aux_requests, i);
+      if (aux->call)
+        mr_http_client_abort (aux->call);
     }
-  g_queue_clear (&task->starting);
+  g_queue_clear (&task->send_queue);
   mr_loop_free (task->loop);
   mr_http_client_free (task->client);
   mr_dispatch_free (task->dispatch);
   g_hash_table_unref (task->exchanges);
   g_hash_table_unref (task->origins);
-  g_hash_table_unref (task->links);
-  g_hash_table_unref (task->leaving);
-  g_ptr_array_unref (task->errands);
+  g_hash_table_unref (task->slot_sets);
+  g_hash_table_unref (task->leaving_targets);
+  g_ptr_array_unref (task->aux_requests);
   g_free (task);
 }
 
--- a/src/target_task.h
+++ b/src/target_task.h
@@ -1,5 +1,5 @@
-/* Task that owns the connections to targets and carries out what the
- * dispatcher decides (docs/TARGET-PROTOCOL.md). */
+/* Task that owns the connections to targets and sends the calls that the dispatcher decides on
+ * (docs/TARGET-PROTOCOL.md). */
 #pragma once
 
 #include "loop.h"
@@ -8,16 +8,17 @@
 
 typedef struct
 {
-  const char *name;        /* this daemon's */
-  const char *incarnation; /* hex; call ids carry its first digits */
-  guint max_connections;   /* to all targets together */
+  const char *name;        /* of this daemon */
+  const char *incarnation; /* hex; call ids start with its first digits */
+  guint max_connections;   /* total to all targets */
   guint32 seed;
-  guint64 content_key; /* of fingerprints */
+  guint64 content_key; /* key for content fingerprints */
 } MrTargetTaskInfo;
 
 MrTargetTask *mr_target_task_new (const MrTargetTaskInfo *info);
 void mr_target_task_free (MrTargetTask *task);
 MrLoop *mr_target_task_loop (MrTargetTask *task);
 
-/* Where partials, reports and bytes for peers go; before the loop runs. */
+/* Sets the mailboxes that receive partials, reports and messages for peers.  To be called
+ * before the loop runs. */
 void mr_target_task_connect (MrTargetTask *task, MrMailbox *entry, MrMailbox *control);
