--- a/src/order_handler.c
+++ b/src/order_handler.c
@@ -6,43 +6,43 @@
 #include "safeguard.h"
 #include "wire.h"
 
-/* Kept back from a forwarded order's deadline for the way back. */
-static const MrTime HOP = 5 * MR_MS;
-/* What a caller is told to wait for while its order is in flight. */
+/* Subtracted from the deadline of a forwarded order, so that its result arrives in time. */
+static const MrTime FORWARD_MARGIN = 5 * MR_MS;
+/* Retry delay that is sent to a caller whose order is in flight. */
 static const gint64 IN_FLIGHT_RETRY_MS = 200;
-static const gint64 FULL_RETRY_MS = 1000;
+static const gint64 RECORDS_FULL_RETRY_MS = 1000;
 
-/* Who waits for the result of an order: a caller of ours, or a daemon. */
+/* Who waits for the result of an order: a caller of this daemon, or another daemon. */
 typedef struct
 {
-  guint64 http_id; /* 0: a daemon */
+  guint64 http_id; /* 0 if it is a daemon */
   char daemon[MR_NAME_MAX + 1];
-  guint64 request;
+  guint64 request_id;
   guint64 incarnation;
-} Asker;
+} Requester;
 
-/* A dispatch under way. */
+/* An order that was dispatched and has no result yet. */
 typedef struct
 {
-  Asker asker;
+  Requester requester;
   guint64 sequence;
-} Dispatch;
+} PendingDispatch;
 
-/* A request forwarded to the issuer of its ticket. */
+/* A request that was forwarded to the issuer of its ticket. */
 typedef struct
 {
-  guint64 request;
+  guint64 request_id;
   guint64 http_id;
-  MrTime give_up_at;
-} Forward;
+  MrTime timeout_at;
+} PendingForward;
 
 struct _MrOrderHandler
 {
   MrEntryContext *context;
-  MrOrderRecords *orders;
-  GHashTable *dispatches; /* batch id -> Dispatch */
-  GHashTable *forwards;   /* request -> Forward */
-  guint64 last_request;
+  MrOrderRecords *records;
+  GHashTable *dispatches; /* batch id -> PendingDispatch */
+  GHashTable *forwards;   /* request id -> PendingForward */
+  guint64 last_request_id;
 };
 
 MrOrderHandler *
@@ -54,48 +54,48 @@
     .record_life = settings->record_life_ms * MR_MS,
     .max_records = (guint) settings->max_records,
   };
-  MrOrderHandler *flow = g_new0 (MrOrderHandler, 1);
-  flow->context = context;
-  flow->orders =
+  MrOrderHandler *handler = g_new0 (MrOrderHandler, 1);
+  handler->context = context;
+  handler->records =
       mr_order_records_new (mr_ticket_issuer_new (settings->name, mr_now (), random), &limits);
-  flow->dispatches = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  flow->forwards = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  return flow;
+  handler->dispatches = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  handler->forwards = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
+  return handler;
 }
 
 void
-mr_order_handler_free (MrOrderHandler *flow)
+mr_order_handler_free (MrOrderHandler *handler)
 {
-  if (!flow)
+  if (!handler)
     return;
-  g_hash_table_unref (flow->dispatches);
-  g_hash_table_unref (flow->forwards);
-  mr_order_records_free (flow->orders);
-  g_free (flow);
+  g_hash_table_unref (handler->dispatches);
+  g_hash_table_unref (handler->forwards);
+  mr_order_records_free (handler->records);
+  g_free (handler);
 }
 
 const char *
-mr_order_handler_incarnation (const MrOrderHandler *flow)
+mr_order_handler_incarnation (const MrOrderHandler *handler)
 {
-  return mr_ticket_issuer_incarnation (mr_order_records_issuer (flow->orders));
+  return mr_ticket_issuer_incarnation (mr_order_records_issuer (handler->records));
 }
 
 void
-mr_order_handler_issue_ticket (MrOrderHandler *flow, guint64 http_id)
+mr_order_handler_issue_ticket (MrOrderHandler *handler, guint64 http_id)
 {
   char ticket[MR_TICKET_MAX_LENGTH + 1];
-  mr_ticket_issue (mr_order_records_issuer (flow->orders), mr_now (), ticket);
+  mr_ticket_issue (mr_order_records_issuer (handler->records), mr_now (), ticket);
   g_autofree char *body = g_strdup_printf (
       "{\"ticket\":\"%s\",\"life_ms\":%d,\"record_life_ms\":%d}\n", ticket,
-      flow->context->settings->ticket_life_ms, flow->context->settings->record_life_ms);
+      handler->context->settings->ticket_life_ms, handler->context->settings->record_life_ms);
   MrHttpReply reply = { .status = 200, .body = mr_text (body) };
-  mr_http_server_reply (flow->context->server, http_id, &reply);
+  mr_http_server_reply (handler->context->server, http_id, &reply);
 }
 
-/* Answers. */
+/* Responses. */
 
 static void
-S_count (MrResult result)
+S_count_result (MrResult result)
 {
   switch (mr_result_ran (result))
     {
@@ -112,37 +112,36 @@
 }
 
 static const char *
-S_message (MrResult result)
+S_result_message (MrResult result)
 {
   switch (result)
     {
     case MR_RESULT_OVERLOADED:
-      return "overload; nothing was sent";
+      return "overloaded; nothing was sent";
     case MR_RESULT_DEADLINE:
       return "no target was free in time; nothing was sent";
     case MR_RESULT_NO_TARGET:
-      return "no target took the order; each refused or could not be reached";
+      return "no target accepted the order; each refused it or could not be reached";
     case MR_RESULT_UNKNOWN:
-      return "sent to a target and not answered; it may have run";
+      return "sent to a target, but not answered; the order may have run";
     case MR_RESULT_HOME_GONE:
-      return "the daemon that issued the ticket is gone; it may have run the "
-             "order";
+      return "the daemon that issued the ticket cannot be reached; it may have run the order";
     case MR_RESULT_IN_FLIGHT:
-      return "the same ticket is being run; ask again for its result";
+      return "the order of this ticket is in progress; retry to get its result";
     case MR_RESULT_RECORD_GONE:
-      return "the ticket's record is past its life";
+      return "the record of this ticket has expired; the order may have run";
     case MR_RESULT_TICKET_EXPIRED:
-      return "the ticket was not presented within its life and never will run";
+      return "the ticket has expired; its order did not run and never will";
     case MR_RESULT_ORDERS_FULL:
-      return "too many orders are remembered; nothing was sent";
+      return "the table of order records is full; nothing was sent";
     case MR_RESULT_NO_TICKET:
       return "argument 'ticket' is missing; get one from POST .../tickets";
     case MR_RESULT_BAD_TICKET:
       return "the ticket was not issued by this system";
     case MR_RESULT_TICKET_REUSED:
-      return "the ticket was used for another order";
+      return "the ticket was already used for another order";
     case MR_RESULT_NO_SERVICE:
-      return "no such service, or it takes no orders";
+      return "no such service, or it does not accept orders";
     default:
       return "";
     }
@@ -153,201 +152,207 @@
 {
   if (result == MR_RESULT_IN_FLIGHT)
     return IN_FLIGHT_RETRY_MS;
-  return result == MR_RESULT_ORDERS_FULL ? FULL_RETRY_MS : 0;
+  return result == MR_RESULT_ORDERS_FULL ? RECORDS_FULL_RETRY_MS : 0;
 }
 
 static void
-S_reply_done (MrOrderHandler *flow, guint64 http_id, MrText target_reply)
+S_reply_done (MrOrderHandler *handler, guint64 http_id, MrText target_reply)
 {
   GString *body = g_string_new ("{\"result\":102,\"name\":\"done\",\"ran\":\"yes\",\"reply\":");
-  gboolean any = target_reply.len > 0;
-  g_string_append_len (body, any ? target_reply.data : "null",
-                       any ? (gssize) target_reply.len : (gssize) 4);
+  gboolean has_reply = target_reply.len > 0;
+  g_string_append_len (body, has_reply ? target_reply.data : "null",
+                       has_reply ? (gssize) target_reply.len : (gssize) 4);
   while (body->len > 0 && g_ascii_isspace (body->str[body->len - 1]))
     g_string_truncate (body, body->len - 1);
   g_string_append (body, "}\n");
   MrHttpReply reply = { .status = 200, .body = mr_text_of (body) };
-  mr_http_server_reply (flow->context->server, http_id, &reply);
+  mr_http_server_reply (handler->context->server, http_id, &reply);
   g_string_free (body, TRUE);
 }
 
 static void
 S_answer_caller (
-    MrOrderHandler *flow, guint64 http_id, MrResult result, gint64 retry_after_ms, MrText reply)
+    MrOrderHandler *handler, guint64 http_id, MrResult result, gint64 retry_after_ms, MrText reply)
 {
-  S_count (result);
+  S_count_result (result);
   if (result == MR_RESULT_DONE)
-    S_reply_done (flow, http_id, reply);
+    S_reply_done (handler, http_id, reply);
   else
-    mr_entry_refuse (flow->context, http_id, result, retry_after_ms, S_message (result));
+    mr_entry_refuse (handler->context, http_id, result, retry_after_ms, S_result_message (result));
 }
 
 static void
-S_answer (
-    MrOrderHandler *flow, const Asker *asker, MrResult result, gint64 retry_after_ms, MrText reply)
+S_answer (MrOrderHandler *handler,
+          const Requester *requester,
+          MrResult result,
+          gint64 retry_after_ms,
+          MrText reply)
 {
-  if (asker->http_id != 0)
+  if (requester->http_id != 0)
     {
-      S_answer_caller (flow, asker->http_id, result, retry_after_ms, reply);
+      S_answer_caller (handler, requester->http_id, result, retry_after_ms, reply);
       return;
     }
   MrWireOrderResult wire = {
-    .request_id = asker->request,
-    .sender_incarnation = asker->incarnation,
+    .request_id = requester->request_id,
+    .sender_incarnation = requester->incarnation,
     .result = result,
     .retry_after_ms = retry_after_ms,
     .body = reply,
   };
-  mr_entry_send_to_member (flow->context, asker->daemon,
-                           mr_wire_order_result (flow->context->settings->name, &wire));
+  mr_entry_send_to_member (handler->context, requester->daemon,
+                           mr_wire_order_result (handler->context->settings->name, &wire));
 }
 
 /* Dispatch. */
 
 static void
-S_run (MrOrderHandler *flow,
-       const Asker *asker,
-       const MrServiceView *service,
-       const MrOrderDecision *verdict,
-       MrText ticket,
-       MrText body,
-       MrTime deadline)
+S_dispatch (MrOrderHandler *handler,
+            const Requester *requester,
+            const MrServiceView *service,
+            const MrOrderDecision *decision,
+            MrText ticket,
+            MrText body,
+            MrTime deadline)
 {
-  MrEntryContext *context = flow->context;
+  MrEntryContext *context = handler->context;
   MrBatch *batch = mr_batch_new (++context->last_batch_id, service->map, 1);
   batch->is_order = TRUE;
   batch->traffic_class = MR_TRAFFIC_CLASS_URGENT;
   batch->deadline = deadline;
   batch->top_k = 1;
   batch->policy.target_limit = (guint) service->document.target_limit;
-  /* Orders spread over the targets; the index of the first one to try. */
-  batch->shards[0] = (guint) (verdict->ticket.sequence % service->map->target_count);
+  /* Index of the first target to try; spreads the orders over the targets. */
+  batch->shards[0] = (guint) (decision->ticket.sequence % service->map->target_count);
   g_string_append_len (batch->payload, body.data, (gssize) body.len);
   g_snprintf (batch->ticket, sizeof batch->ticket, "%.*s", (int) ticket.len, ticket.data);
-  Dispatch *dispatch = g_new (Dispatch, 1);
-  *dispatch = (Dispatch){ .asker = *asker, .sequence = verdict->ticket.sequence };
+  PendingDispatch *dispatch = g_new (PendingDispatch, 1);
+  *dispatch = (PendingDispatch){ .requester = *requester, .sequence = decision->ticket.sequence };
   gint64 *key = g_new (gint64, 1);
   *key = (gint64) batch->id;
-  g_hash_table_insert (flow->dispatches, key, dispatch);
+  g_hash_table_insert (handler->dispatches, key, dispatch);
   mr_entry_submit_batch (context, batch);
 }
 
 static gboolean
-S_takes_orders (const MrServiceView *service)
+S_accepts_orders (const MrServiceView *service)
 {
   return service && service->map && service->document.orders;
 }
 
-/* Decides on an order at the process that it reached; FORWARD is returned. */
+/* Decides on an order that a caller or a daemon has sent here, and carries out the decision
+ * unless it is MR_ORDER_ACTION_FORWARD; that one is left to the calling function. */
 static MrOrderDecision
-S_decide (MrOrderHandler *flow,
-          const Asker *asker,
+S_decide (MrOrderHandler *handler,
+          const Requester *requester,
           const MrServiceView *service,
           MrText ticket,
           MrText body,
           MrTime deadline)
 {
-  MrOrderDecision verdict = mr_order_records_begin (flow->orders, mr_now (), ticket,
-                                                    mr_text (service->document.service), body);
-  if (verdict.action == MR_ORDER_ACTION_RUN)
-    S_run (flow, asker, service, &verdict, ticket, body, deadline);
-  else if (verdict.action == MR_ORDER_ACTION_ANSWER)
-    S_answer (flow, asker, verdict.result, S_retry_after_ms (verdict.result), verdict.reply);
-  return verdict;
+  MrOrderDecision decision = mr_order_records_begin (handler->records, mr_now (), ticket,
+                                                     mr_text (service->document.service), body);
+  if (decision.action == MR_ORDER_ACTION_RUN)
+    S_dispatch (handler, requester, service, &decision, ticket, body, deadline);
+  else if (decision.action == MR_ORDER_ACTION_ANSWER)
+    S_answer (handler, requester, decision.result, S_retry_after_ms (decision.result),
+              decision.reply);
+  return decision;
 }
 
 static void
-S_forward (MrOrderHandler *flow,
+S_forward (MrOrderHandler *handler,
            const MrEntryRequest *request,
            const MrTicket *ticket,
            MrText text,
            MrText body)
 {
-  MrEntryContext *context = flow->context;
-  const MrMember *home = mr_member_list_find (context->view->members, ticket->daemon);
-  gboolean own_name = g_str_equal (ticket->daemon, context->settings->name);
-  if (!home || own_name || home->state >= MR_MEMBER_LEFT)
+  MrEntryContext *context = handler->context;
+  const MrMember *issuer = mr_member_list_find (context->view->members, ticket->daemon);
+  gboolean is_self = g_str_equal (ticket->daemon, context->settings->name);
+  if (!issuer || is_self || issuer->state >= MR_MEMBER_LEFT)
     {
-      S_answer_caller (flow, request->http_id, MR_RESULT_HOME_GONE, 0, (MrText){ 0 });
+      S_answer_caller (handler, request->http_id, MR_RESULT_HOME_GONE, 0, (MrText){ 0 });
       return;
     }
-  Forward *forward = g_new (Forward, 1);
-  *forward = (Forward){
-    .request = ++flow->last_request,
+  PendingForward *forward = g_new (PendingForward, 1);
+  *forward = (PendingForward){
+    .request_id = ++handler->last_request_id,
     .http_id = request->http_id,
-    .give_up_at = request->deadline,
+    .timeout_at = request->deadline,
   };
-  g_hash_table_insert (flow->forwards, &forward->request, forward);
+  g_hash_table_insert (handler->forwards, &forward->request_id, forward);
   MrWireOrder wire = {
-    .request_id = forward->request,
+    .request_id = forward->request_id,
     .sender_incarnation = context->incarnation,
-    .remaining_ms = MAX ((request->deadline - mr_now () - HOP) / MR_MS, 1),
+    .remaining_ms = MAX ((request->deadline - mr_now () - FORWARD_MARGIN) / MR_MS, 1),
     .body = body,
   };
   g_strlcpy (wire.service, request->service->document.service, sizeof wire.service);
   g_snprintf (wire.ticket, sizeof wire.ticket, "%.*s", (int) text.len, text.data);
   mr_metrics_add (MR_METRIC_ORDERS_FORWARDED, 1);
-  mr_entry_send_to_member (context, home->name, mr_wire_order (context->settings->name, &wire));
+  mr_entry_send_to_member (context, issuer->name, mr_wire_order (context->settings->name, &wire));
 }
 
 void
-mr_order_handler_begin (MrOrderHandler *flow,
+mr_order_handler_begin (MrOrderHandler *handler,
                         const MrEntryRequest *request,
                         MrText ticket,
                         MrText body)
 {
   mr_metrics_add (MR_METRIC_ORDERS, 1);
-  if (!S_takes_orders (request->service))
+  if (!S_accepts_orders (request->service))
     {
-      S_answer_caller (flow, request->http_id, MR_RESULT_NO_SERVICE, 0, (MrText){ 0 });
+      S_answer_caller (handler, request->http_id, MR_RESULT_NO_SERVICE, 0, (MrText){ 0 });
       return;
     }
-  Asker asker = { .http_id = request->http_id };
-  MrOrderDecision verdict =
-      S_decide (flow, &asker, request->service, ticket, body, request->deadline);
-  if (verdict.action == MR_ORDER_ACTION_FORWARD)
-    S_forward (flow, request, &verdict.ticket, ticket, body);
+  Requester requester = { .http_id = request->http_id };
+  MrOrderDecision decision =
+      S_decide (handler, &requester, request->service, ticket, body, request->deadline);
+  if (decision.action == MR_ORDER_ACTION_FORWARD)
+    S_forward (handler, request, &decision.ticket, ticket, body);
 }
 
 void
-mr_order_handler_on_forwarded (MrOrderHandler *flow, const MrOrderMessage *message)
+mr_order_handler_on_forwarded (MrOrderHandler *handler, const MrOrderMessage *message)
 {
-  Asker asker = { .request = message->request_id, .incarnation = message->incarnation };
-  g_strlcpy (asker.daemon, message->from, sizeof asker.daemon);
-  const MrServiceView *service = mr_view_service (flow->context->view, message->service);
-  if (!S_takes_orders (service))
+  Requester requester = { .request_id = message->request_id, .incarnation = message->incarnation };
+  g_strlcpy (requester.daemon, message->from, sizeof requester.daemon);
+  const MrServiceView *service = mr_view_service (handler->context->view, message->service);
+  if (!S_accepts_orders (service))
     {
-      S_answer (flow, &asker, MR_RESULT_NO_SERVICE, 0, (MrText){ 0 });
+      S_answer (handler, &requester, MR_RESULT_NO_SERVICE, 0, (MrText){ 0 });
       return;
     }
   MrTime deadline = mr_now () + message->remaining_ms * MR_MS;
-  MrOrderDecision verdict = S_decide (flow, &asker, service, mr_text (message->ticket),
-                                      mr_text_of (message->body), deadline);
-  /* A ticket of an earlier process of our name: its memory is gone. */
-  if (verdict.action == MR_ORDER_ACTION_FORWARD)
-    S_answer (flow, &asker, MR_RESULT_HOME_GONE, 0, (MrText){ 0 });
+  MrOrderDecision decision = S_decide (handler, &requester, service, mr_text (message->ticket),
+                                       mr_text_of (message->body), deadline);
+  /* Issued by an earlier process with the name of this daemon, whose records are gone. */
+  if (decision.action == MR_ORDER_ACTION_FORWARD)
+    S_answer (handler, &requester, MR_RESULT_HOME_GONE, 0, (MrText){ 0 });
 }
 
 void
-mr_order_handler_on_result (MrOrderHandler *flow, const MrOrderResultMessage *message)
+mr_order_handler_on_result (MrOrderHandler *handler, const MrOrderResultMessage *message)
 {
-  Forward *forward = g_hash_table_lookup (flow->forwards, &message->request_id);
+  PendingForward *forward = g_hash_table_lookup (handler->forwards, &message->request_id);
   if (!forward)
     return;
-  S_answer_caller (flow, forward->http_id, message->result, message->retry_after_ms,
+  S_answer_caller (handler, forward->http_id, message->result, message->retry_after_ms,
                    mr_text_of (message->body));
-  g_hash_table_remove (flow->forwards, &message->request_id);
+  g_hash_table_remove (handler->forwards, &message->request_id);
 }
 
 static MrResult
-S_result (const MrPartial *partial)
+S_partial_result (const MrPartial *partial)
 {
   if (partial->kind == MR_PARTIAL_REFUSED)
     return MR_RESULT_OVERLOADED;
   if (partial->kind == MR_PARTIAL_DEADLINE)
     return MR_RESULT_DEADLINE;
+  /* Only a partial that ends its batch can tell that the order did not run. */
   if (partial->kind != MR_PARTIAL_ANSWER)
-    return MR_RESULT_UNKNOWN; /* "not run" only on the word of an ended batch */
+    return MR_RESULT_UNKNOWN;
   switch (partial->order_outcome)
     {
     case MR_ORDER_DONE:
@@ -361,48 +366,48 @@
 }
 
 gboolean
-mr_order_handler_on_partial (MrOrderHandler *flow, MrPartial *partial)
+mr_order_handler_on_partial (MrOrderHandler *handler, MrPartial *partial)
 {
-  Dispatch *dispatch = g_hash_table_lookup (flow->dispatches, &partial->batch_id);
+  PendingDispatch *dispatch = g_hash_table_lookup (handler->dispatches, &partial->batch_id);
   if (!dispatch)
     return FALSE;
-  MrResult result = S_result (partial);
+  MrResult result = S_partial_result (partial);
   MrText reply = partial->order_reply ? mr_text_of (partial->order_reply) : (MrText){ 0 };
   if (result == MR_RESULT_UNKNOWN)
     mr_log (MR_LOG_WARNING, MR_EVENT_ORDER_UNKNOWN,
-            "order %" G_GUINT64_FORMAT " was sent and not answered; told as unknown",
+            "order %" G_GUINT64_FORMAT " was sent, but not answered; its result is unknown",
             dispatch->sequence);
-  mr_order_records_end (flow->orders, dispatch->sequence, result, reply);
-  S_answer (flow, &dispatch->asker, result, partial->retry_after_ms, reply);
-  g_hash_table_remove (flow->dispatches, &partial->batch_id);
+  mr_order_records_end (handler->records, dispatch->sequence, result, reply);
+  S_answer (handler, &dispatch->requester, result, partial->retry_after_ms, reply);
+  g_hash_table_remove (handler->dispatches, &partial->batch_id);
   mr_partial_free (partial);
   return TRUE;
 }
 
 MrTime
-mr_order_handler_tick (MrOrderHandler *flow, MrTime now)
+mr_order_handler_tick (MrOrderHandler *handler, MrTime now)
 {
   MrTime next = MR_NEVER;
   GHashTableIter iter;
   gpointer item = NULL;
-  g_hash_table_iter_init (&iter, flow->forwards);
+  g_hash_table_iter_init (&iter, handler->forwards);
   while (g_hash_table_iter_next (&iter, NULL, &item))
     {
-      Forward *forward = item;
-      if (now < forward->give_up_at)
+      PendingForward *forward = item;
+      if (now < forward->timeout_at)
         {
-          next = MIN (next, forward->give_up_at);
+          next = MIN (next, forward->timeout_at);
           continue;
         }
-      /* The issuer may be frozen with the order in its hands. */
-      S_answer_caller (flow, forward->http_id, MR_RESULT_UNKNOWN, 0, (MrText){ 0 });
+      /* The issuer may have been paused after it accepted the order. */
+      S_answer_caller (handler, forward->http_id, MR_RESULT_UNKNOWN, 0, (MrText){ 0 });
       g_hash_table_iter_remove (&iter);
     }
   return next;
 }
 
 guint
-mr_order_handler_pending_count (const MrOrderHandler *flow)
+mr_order_handler_pending_count (const MrOrderHandler *handler)
 {
-  return g_hash_table_size (flow->dispatches) + g_hash_table_size (flow->forwards);
+  return g_hash_table_size (handler->dispatches) + g_hash_table_size (handler->forwards);
 }
--- a/src/order_handler.h
+++ b/src/order_handler.h
@@ -1,6 +1,5 @@
-/* Orders on their way: callers' requests, the dispatch of tickets of this
- * process, and forwarding to the process that issued the ticket (order_records.c
- * decides). */
+/* Handles orders: requests of callers, the dispatch of tickets that this process has issued,
+ * and forwarding to the process that issued a ticket (order_records.c decides which). */
 #pragma once
 
 #include "entry_context.h"
@@ -10,24 +9,26 @@
 
 /* @random: 32 bytes for the ticket issuer. */
 MrOrderHandler *mr_order_handler_new (MrEntryContext *context, const guint8 random[32]);
-void mr_order_handler_free (MrOrderHandler *flow);
-const char *mr_order_handler_incarnation (const MrOrderHandler *flow);
+void mr_order_handler_free (MrOrderHandler *handler);
+const char *mr_order_handler_incarnation (const MrOrderHandler *handler);
 
-/* Answers with a new ticket. */
-void mr_order_handler_issue_ticket (MrOrderHandler *flow, guint64 http_id);
+/* Responds with a new ticket. */
+void mr_order_handler_issue_ticket (MrOrderHandler *handler, guint64 http_id);
 
-void mr_order_handler_begin (MrOrderHandler *flow,
+void mr_order_handler_begin (MrOrderHandler *handler,
                              const MrEntryRequest *request,
                              MrText ticket,
                              MrText body);
 
-/* Another daemon's caller presents a ticket of ours. */
-void mr_order_handler_on_forwarded (MrOrderHandler *flow, const MrOrderMessage *message);
-void mr_order_handler_on_result (MrOrderHandler *flow, const MrOrderResultMessage *message);
+/* Another daemon has forwarded a ticket that was issued here. */
+void mr_order_handler_on_forwarded (MrOrderHandler *handler, const MrOrderMessage *message);
+/* The issuer reports the result of a forwarded order. */
+void mr_order_handler_on_result (MrOrderHandler *handler, const MrOrderResultMessage *message);
 
-/* FALSE, and not taken, if it belongs to no order. */
-gboolean mr_order_handler_on_partial (MrOrderHandler *flow, MrPartial *partial);
-MrTime mr_order_handler_tick (MrOrderHandler *flow, MrTime now);
+/* Takes ownership of @partial and returns TRUE if it belongs to an order; otherwise returns
+ * FALSE. */
+gboolean mr_order_handler_on_partial (MrOrderHandler *handler, MrPartial *partial);
+MrTime mr_order_handler_tick (MrOrderHandler *handler, MrTime now);
 
-/* Orders that are being run or waited for. */
-guint mr_order_handler_pending_count (const MrOrderHandler *flow);
+/* Number of orders that were dispatched or forwarded and have no result yet. */
+guint mr_order_handler_pending_count (const MrOrderHandler *handler);
--- a/src/order_records.c
+++ b/src/order_records.c
@@ -16,16 +16,16 @@
   RecordState state;
   MrResult result;
   GString *reply;
-  MrTime purge_at;
-  GList *link; /* in by_age */
+  MrTime expires_at;
+  GList *age_link; /* in by_age */
 } Record;
 
 struct _MrOrderRecords
 {
   MrTicketIssuer *issuer;
   MrOrderRecordLimits limits;
-  GHashTable *records; /* sequence -> Record */
-  GQueue by_age;       /* Record, in the order they were made */
+  GHashTable *by_sequence; /* sequence -> Record */
+  GQueue by_age;           /* Record, in order of creation */
   guint in_flight;
 };
 
@@ -41,54 +41,55 @@
 MrOrderRecords *
 mr_order_records_new (MrTicketIssuer *issuer, const MrOrderRecordLimits *limits)
 {
-  MrOrderRecords *orders = g_new0 (MrOrderRecords, 1);
-  orders->issuer = issuer;
-  orders->limits = *limits;
-  orders->records = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, S_record_free);
-  g_queue_init (&orders->by_age);
-  return orders;
+  MrOrderRecords *records = g_new0 (MrOrderRecords, 1);
+  records->issuer = issuer;
+  records->limits = *limits;
+  records->by_sequence = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, S_record_free);
+  g_queue_init (&records->by_age);
+  return records;
 }
 
 void
-mr_order_records_free (MrOrderRecords *orders)
+mr_order_records_free (MrOrderRecords *records)
 {
-  if (!orders)
+  if (!records)
     return;
-  g_queue_clear (&orders->by_age);
-  g_hash_table_unref (orders->records);
-  mr_ticket_issuer_free (orders->issuer);
-  g_free (orders);
+  g_queue_clear (&records->by_age);
+  g_hash_table_unref (records->by_sequence);
+  mr_ticket_issuer_free (records->issuer);
+  g_free (records);
 }
 
 MrTicketIssuer *
-mr_order_records_issuer (MrOrderRecords *orders)
+mr_order_records_issuer (MrOrderRecords *records)
 {
-  return orders->issuer;
+  return records->issuer;
 }
 
 static void
-S_forget (MrOrderRecords *orders, Record *record)
+S_delete (MrOrderRecords *records, Record *record)
 {
-  g_queue_delete_link (&orders->by_age, record->link);
-  g_hash_table_remove (orders->records, &record->sequence);
+  g_queue_delete_link (&records->by_age, record->age_link);
+  g_hash_table_remove (records->by_sequence, &record->sequence);
 }
 
-/* Drops records past their life; one in flight is never dropped. */
+/* Deletes expired records in order of creation, up to the first that has not expired or is in
+ * flight.  A record in flight must never be deleted. */
 static void
-S_purge (MrOrderRecords *orders, MrTime now)
+S_delete_expired (MrOrderRecords *records, MrTime now)
 {
-  for (Record *record = g_queue_peek_head (&orders->by_age);
-       record && record->purge_at <= now && record->state == RECORD_ENDED;
-       record = g_queue_peek_head (&orders->by_age))
-    S_forget (orders, record);
+  for (Record *record = g_queue_peek_head (&records->by_age);
+       record && record->expires_at <= now && record->state == RECORD_ENDED;
+       record = g_queue_peek_head (&records->by_age))
+    S_delete (records, record);
 }
 
 static MrOrderDecision
-S_answer (MrOrderDecision verdict, MrResult result)
+S_answer (MrOrderDecision decision, MrResult result)
 {
-  verdict.action = MR_ORDER_ACTION_ANSWER;
-  verdict.result = result;
-  return verdict;
+  decision.action = MR_ORDER_ACTION_ANSWER;
+  decision.result = result;
+  return decision;
 }
 
 static guint64
@@ -99,93 +100,93 @@
 }
 
 static MrOrderDecision
-S_from_record (const Record *record, MrOrderDecision verdict, guint64 body_hash)
+S_answer_from_record (const Record *record, MrOrderDecision decision, guint64 body_hash)
 {
   if (record->body_hash != body_hash)
-    return S_answer (verdict, MR_RESULT_TICKET_REUSED);
+    return S_answer (decision, MR_RESULT_TICKET_REUSED);
   if (record->state == RECORD_IN_FLIGHT)
-    return S_answer (verdict, MR_RESULT_IN_FLIGHT);
+    return S_answer (decision, MR_RESULT_IN_FLIGHT);
   if (record->reply)
-    verdict.reply = mr_text_of (record->reply);
-  return S_answer (verdict, record->result);
+    decision.reply = mr_text_of (record->reply);
+  return S_answer (decision, record->result);
 }
 
-/* A ticket of ours without a record: was it never dispatched, or is its record
- * gone?  Its age tells, since records outlive tickets: within ticket_life it
- * may run; then until record_life a record would still be here, so it surely
- * never ran; after that nothing can be said. */
+/* Decides on a ticket of this issuer that has no record: it was never dispatched, or its record
+ * has expired.  Its age tells which, because records outlive tickets.  Up to ticket_life the
+ * order may run; for another record_life a record would still exist, so the order has never
+ * run; after that it is unknown whether it ran. */
 static MrOrderDecision
-S_first_sight (MrOrderRecords *orders, MrTime now, MrOrderDecision verdict, guint64 body_hash)
+S_begin_new (MrOrderRecords *records, MrTime now, MrOrderDecision decision, guint64 body_hash)
 {
-  MrTime age = mr_ticket_age (orders->issuer, &verdict.ticket, now);
+  MrTime age = mr_ticket_age (records->issuer, &decision.ticket, now);
   if (MR_SAFEGUARD (MR_GUARD_TICKET_EXPIRY))
     {
-      if (age > orders->limits.ticket_life + orders->limits.record_life)
-        return S_answer (verdict, MR_RESULT_RECORD_GONE);
-      if (age > orders->limits.ticket_life)
-        return S_answer (verdict, MR_RESULT_TICKET_EXPIRED);
+      if (age > records->limits.ticket_life + records->limits.record_life)
+        return S_answer (decision, MR_RESULT_RECORD_GONE);
+      if (age > records->limits.ticket_life)
+        return S_answer (decision, MR_RESULT_TICKET_EXPIRED);
     }
-  if (g_hash_table_size (orders->records) >= orders->limits.max_records)
-    return S_answer (verdict, MR_RESULT_ORDERS_FULL);
+  if (g_hash_table_size (records->by_sequence) >= records->limits.max_records)
+    return S_answer (decision, MR_RESULT_ORDERS_FULL);
   Record *record = g_new (Record, 1);
   *record = (Record){
-    .sequence = verdict.ticket.sequence,
+    .sequence = decision.ticket.sequence,
     .body_hash = body_hash,
     .state = RECORD_IN_FLIGHT,
-    .purge_at = now - age + orders->limits.ticket_life + orders->limits.record_life,
+    .expires_at = now - age + records->limits.ticket_life + records->limits.record_life,
   };
-  g_hash_table_insert (orders->records, &record->sequence, record);
-  g_queue_push_tail (&orders->by_age, record);
-  record->link = g_queue_peek_tail_link (&orders->by_age);
-  orders->in_flight++;
-  verdict.action = MR_ORDER_ACTION_RUN;
-  return verdict;
+  g_hash_table_insert (records->by_sequence, &record->sequence, record);
+  g_queue_push_tail (&records->by_age, record);
+  record->age_link = g_queue_peek_tail_link (&records->by_age);
+  records->in_flight++;
+  decision.action = MR_ORDER_ACTION_RUN;
+  return decision;
 }
 
 MrOrderDecision
 mr_order_records_begin (
-    MrOrderRecords *orders, MrTime now, MrText ticket, MrText service, MrText body)
+    MrOrderRecords *records, MrTime now, MrText ticket, MrText service, MrText body)
 {
-  MrOrderDecision verdict = { 0 };
-  S_purge (orders, now);
+  MrOrderDecision decision = { 0 };
+  S_delete_expired (records, now);
   if (ticket.len == 0)
-    return S_answer (verdict, MR_RESULT_NO_TICKET);
-  if (mr_ticket_parse (ticket, &verdict.ticket) != MR_OK)
-    return S_answer (verdict, MR_RESULT_BAD_TICKET);
-  const char *own = mr_ticket_issuer_incarnation (orders->issuer);
-  if (!g_str_equal (verdict.ticket.incarnation, own))
+    return S_answer (decision, MR_RESULT_NO_TICKET);
+  if (mr_ticket_parse (ticket, &decision.ticket) != MR_OK)
+    return S_answer (decision, MR_RESULT_BAD_TICKET);
+  const char *incarnation = mr_ticket_issuer_incarnation (records->issuer);
+  if (!g_str_equal (decision.ticket.incarnation, incarnation))
     {
-      /* Another incarnation may have dispatched it already; only its memory
-       * knows, so it is asked, and if it is gone nobody dispatches. */
+      /* Another incarnation may have dispatched it already.  Only that process knows, so the
+       * request is forwarded to it; if it is gone, nobody dispatches the ticket. */
       if (MR_SAFEGUARD (MR_GUARD_TICKET_OWNER))
         {
-          verdict.action = MR_ORDER_ACTION_FORWARD;
-          return verdict;
+          decision.action = MR_ORDER_ACTION_FORWARD;
+          return decision;
         }
     }
-  else if (!mr_ticket_is_own (orders->issuer, ticket, &verdict.ticket))
-    return S_answer (verdict, MR_RESULT_BAD_TICKET);
+  else if (!mr_ticket_is_own (records->issuer, ticket, &decision.ticket))
+    return S_answer (decision, MR_RESULT_BAD_TICKET);
   guint64 hash = S_body_hash (service, body);
-  Record *record = g_hash_table_lookup (orders->records, &verdict.ticket.sequence);
-  /* The caller asks again after a lost answer; without the record the order
-   * would be sent a second time. */
+  Record *record = g_hash_table_lookup (records->by_sequence, &decision.ticket.sequence);
+  /* The caller repeats its request after a lost response; without the record the order would be
+   * sent a second time. */
   if (record && MR_SAFEGUARD (MR_GUARD_ORDER_RECORD))
-    return S_from_record (record, verdict, hash);
+    return S_answer_from_record (record, decision, hash);
   if (record)
-    S_forget (orders, record);
-  return S_first_sight (orders, now, verdict, hash);
+    S_delete (records, record);
+  return S_begin_new (records, now, decision, hash);
 }
 
 void
-mr_order_records_end (MrOrderRecords *orders, guint64 sequence, MrResult result, MrText reply)
+mr_order_records_end (MrOrderRecords *records, guint64 sequence, MrResult result, MrText reply)
 {
-  Record *record = g_hash_table_lookup (orders->records, &sequence);
+  Record *record = g_hash_table_lookup (records->by_sequence, &sequence);
   if (!record || record->state != RECORD_IN_FLIGHT)
     return;
-  orders->in_flight--;
+  records->in_flight--;
   if (mr_result_ran (result) == MR_RAN_NO)
     {
-      S_forget (orders, record);
+      S_delete (records, record);
       return;
     }
   record->state = RECORD_ENDED;
@@ -194,13 +195,13 @@
 }
 
 guint
-mr_order_records_count (const MrOrderRecords *orders)
+mr_order_records_count (const MrOrderRecords *records)
 {
-  return g_hash_table_size (orders->records);
+  return g_hash_table_size (records->by_sequence);
 }
 
 guint
-mr_order_records_in_flight (const MrOrderRecords *orders)
+mr_order_records_in_flight (const MrOrderRecords *records)
 {
-  return orders->in_flight;
+  return records->in_flight;
 }
--- a/src/order_records.h
+++ b/src/order_records.h
@@ -1,11 +1,10 @@
-/* Records of orders of one process incarnation: what makes an order run at most
- * once.
+/* Records of the orders of one process incarnation; with them an order runs at most once.
  *
- * Only the process that issued a ticket may dispatch it, and its memory says
- * whether it did.  No clock of another process, no lease and no store is
- * involved, so a pause, a cut or an outage of the platform can't make it run
- * twice; if the process is gone its tickets are never dispatched again.
- * What was weighed: docs/design/at-most-once.md. */
+ * Only the process that issued a ticket may dispatch it, and it keeps in memory whether it did.
+ * No clock of another process, no lease and no store is involved, so a paused process, a
+ * network partition or an outage of the platform cannot make an order run twice.  Once the
+ * process is gone, its tickets are never dispatched again.  Alternatives that were considered:
+ * docs/design/at-most-once.md. */
 #pragma once
 
 #include "result.h"
@@ -15,38 +14,39 @@
 
 typedef struct
 {
-  MrTime ticket_life; /* a ticket is dispatched within this of its issue */
-  MrTime record_life; /* a record is kept this long after that */
+  MrTime ticket_life; /* how long after its issue a ticket can be dispatched */
+  MrTime record_life; /* how much longer its record is kept */
   guint max_records;
 } MrOrderRecordLimits;
 
 typedef enum
 {
-  MR_ORDER_ACTION_RUN,     /* dispatch it now; the record is made */
-  MR_ORDER_ACTION_FORWARD, /* another incarnation's: its daemon is named in @ticket */
-  MR_ORDER_ACTION_ANSWER,  /* answer with @result and @reply; nothing to run */
+  MR_ORDER_ACTION_RUN,     /* dispatch it now; its record has been made */
+  MR_ORDER_ACTION_FORWARD, /* issued by another incarnation, whose daemon @ticket names */
+  MR_ORDER_ACTION_ANSWER,  /* answer with @result and @reply without dispatching */
 } MrOrderAction;
 
 typedef struct
 {
   MrOrderAction action;
   MrResult result;
-  MrText reply; /* borrowed until the next call */
+  MrText reply; /* valid until the next call */
   MrTicket ticket;
 } MrOrderDecision;
 
-/* Takes @issuer. */
+/* Takes ownership of @issuer. */
 MrOrderRecords *mr_order_records_new (MrTicketIssuer *issuer, const MrOrderRecordLimits *limits);
-void mr_order_records_free (MrOrderRecords *orders);
-MrTicketIssuer *mr_order_records_issuer (MrOrderRecords *orders);
+void mr_order_records_free (MrOrderRecords *records);
+MrTicketIssuer *mr_order_records_issuer (MrOrderRecords *records);
 
-/* What to do with a request that presents @ticket with @body for @service. */
+/* Decides what to do with a request for @service that presents @ticket and @body. */
 MrOrderDecision mr_order_records_begin (
-    MrOrderRecords *orders, MrTime now, MrText ticket, MrText service, MrText body);
+    MrOrderRecords *records, MrTime now, MrText ticket, MrText service, MrText body);
 
-/* The dispatch of @sequence has ended; not-run outcomes free the ticket for
- * another try. */
-void mr_order_records_end (MrOrderRecords *orders, guint64 sequence, MrResult result, MrText reply);
+/* Records the end of the dispatch of @sequence.  If the order did not run, its record is
+ * deleted, so that the ticket can be used again. */
+void
+mr_order_records_end (MrOrderRecords *records, guint64 sequence, MrResult result, MrText reply);
 
-guint mr_order_records_count (const MrOrderRecords *orders);
-guint mr_order_records_in_flight (const MrOrderRecords *orders);
+guint mr_order_records_count (const MrOrderRecords *records);
+guint mr_order_records_in_flight (const MrOrderRecords *records);
