--- a/src/accepted_document.h
+++ b/src/accepted_document.h
@@ -1,5 +1,5 @@
-/* Body of an object of kind "accepted": which version of the operators'
- * document is in force, and its text.
+/* Body of an object of kind "accepted": the version and text of the operators' document that is
+ * in force.
  *
  * {"source": 12, "document": {...}} or {"source": 13, "deleted": true}. */
 #pragma once
@@ -9,12 +9,12 @@
 
 typedef struct
 {
-  guint64 document_version; /* version of the operators' document */
+  guint64 document_version; /* "source": version of the operators' document */
   gboolean deleted;
   char *document; /* JSON text; NULL if deleted */
 } MrAcceptedDocument;
 
-/* @document: JSON text, or empty for a deleted one. */
-GString *mr_accepted_document_encode (guint64 source, MrText document);
+/* @document: JSON text; empty if the document was deleted. */
+GString *mr_accepted_document_encode (guint64 document_version, MrText document);
 MrStatus mr_accepted_document_parse (MrText body, MrAcceptedDocument *accepted);
 void mr_accepted_document_clear (MrAcceptedDocument *accepted);
--- a/src/caller_server.c
+++ b/src/caller_server.c
@@ -7,42 +7,43 @@
 {
   STATUS_BAD_REQUEST = 400,
   STATUS_TIMEOUT = 408,
-  STATUS_BODY_BIG = 413,
-  STATUS_HEAD_BIG = 431,
-  /* Bytes that a caller may send ahead of its turn, beside one request. */
-  AHEAD_MAX = 64 * 1024,
+  STATUS_CONTENT_TOO_LARGE = 413,
+  STATUS_HEADERS_TOO_LARGE = 431,
+  /* Most bytes that a caller may pipeline, beside the largest body. */
+  PIPELINED_BYTES_MAX = 64 * 1024,
 };
 
-/* Until operators' limits are known. */
+/* Used until the operators' limits are known. */
 static const MrCallerLimits default_limits = {
   .max_head_bytes = 16384,
   .max_body_bytes = 262144,
   .head_timeout = 3 * MR_SECOND,
   .idle_timeout = 15 * MR_SECOND,
 };
-/* A body may take this many times as long as a head: it is up to that much
- * larger, and no setting bounds it. */
-static const gint64 BODY_TIMES = 4;
-/* A connection that was told to close is closed by us if the caller does not. */
-static const MrTime CLOSE_WAIT = 1 * MR_SECOND;
-/* Idle connections are kept a little longer than callers are told, so that a
- * request at the last moment does not cross our close. */
+/* The timeout for a body, as a multiple of the one for a head: bodies are larger, and no
+ * setting bounds their time. */
+static const gint64 BODY_TIMEOUT_FACTOR = 4;
+/* Time for the caller to close a connection whose end was announced; after that the server
+ * closes it. */
+static const MrTime CLOSE_TIMEOUT = 1 * MR_SECOND;
+/* Idle connections are kept this much longer than callers are told, so that a request at the
+ * last moment does not cross the server's close. */
 static const MrTime IDLE_GRACE = 500 * MR_MS;
 
 struct _MrCaller
 {
-  MrStreamHandler host;
+  MrStreamHandler handler;
   MrCallerServer *server;
   MrStream *stream;
-  GList link; /* in the server's callers */
+  GList link; /* in server->callers */
   MrHttpParser *parser;
-  GString *ahead; /* bytes behind the request that is being served */
+  GString *pipelined; /* bytes after the request that is being served */
   MrTimer timer;
-  MrTime began;      /* first byte of the request */
-  MrTime round_trip; /* 0: not asked for yet, or not known */
-  gboolean busy;     /* a request is with the host */
-  gboolean close;    /* after what is being written */
-  gboolean continued;
+  MrTime first_byte_at;       /* when the first byte of the request arrived */
+  MrTime round_trip;          /* 0: not measured yet, or not known */
+  gboolean busy;              /* the host is handling a request */
+  gboolean close_after_write; /* close the connection once the response is written */
+  gboolean continue_handled;  /* 100 Continue was sent, or is not needed */
   gpointer user;
 };
 
@@ -59,7 +60,7 @@
 };
 
 static const char *
-S_reason (int status)
+S_reason_phrase (int status)
 {
   static const struct
   {
@@ -89,7 +90,7 @@
   mr_timers_set (c->server->timers, &c->timer, MR_NEVER);
   g_queue_unlink (&c->server->callers, &c->link);
   mr_http_parser_free (c->parser);
-  g_string_free (c->ahead, TRUE);
+  g_string_free (c->pipelined, TRUE);
   g_free (c);
 }
 
@@ -113,15 +114,15 @@
 }
 
 static void
-S_write (MrCaller *c, int status, MrText fields, MrText body)
+S_write_response (MrCaller *c, int status, MrText fields, MrText body)
 {
   gboolean no_body = S_has_no_body (status, c->parser);
   GString *out = g_string_sized_new (256 + fields.len + body.len);
-  g_string_append_printf (out, "HTTP/1.1 %d %s\r\n", status, S_reason (status));
+  g_string_append_printf (out, "HTTP/1.1 %d %s\r\n", status, S_reason_phrase (status));
   g_string_append_len (out, fields.data, (gssize) fields.len);
   if (!no_body)
     g_string_append_printf (out, "Content-Length: %zu\r\n", body.len);
-  if (c->close)
+  if (c->close_after_write)
     g_string_append (out, "Connection: close\r\n");
   g_string_append (out, "\r\n");
   if (!no_body)
@@ -130,14 +131,14 @@
   g_string_free (out, TRUE);
 }
 
-/* A request that can't be read is answered, and its connection ends: nobody
- * knows where the next one would begin. */
+/* Responds to a request that can't be parsed.  Its connection is closed afterwards, as it is
+ * unknown where the next request would begin. */
 static void
-S_refuse (MrCaller *c, int status)
+S_reject (MrCaller *c, int status)
 {
-  c->close = TRUE;
-  S_write (c, status, (MrText){ 0 }, (MrText){ 0 });
-  mr_timers_set (c->server->timers, &c->timer, mr_now () + CLOSE_WAIT);
+  c->close_after_write = TRUE;
+  S_write_response (c, status, (MrText){ 0 }, (MrText){ 0 });
+  mr_timers_set (c->server->timers, &c->timer, mr_now () + CLOSE_TIMEOUT);
 }
 
 static void
@@ -147,72 +148,72 @@
   const MrCallerLimits *limits = &c->server->limits;
   mr_http_parser_set_limits (c->parser, (MrHttpLimits){ .max_head_bytes = limits->max_head_bytes,
                                                         .max_body_bytes = limits->max_body_bytes });
-  c->continued = FALSE;
+  c->continue_handled = FALSE;
   mr_timers_set (c->server->timers, &c->timer, now + limits->idle_timeout + IDLE_GRACE);
 }
 
-/* Acts on what the parser has come to. */
+/* Acts on the parser's new state. */
 static void
-S_on_progress (MrCaller *c, MrTime now, MrHttpState before)
+S_on_progress (MrCaller *c, MrTime now, MrHttpState previous)
 {
   MrHttpState state = mr_http_parser_state (c->parser);
   const MrCallerLimits *limits = &c->server->limits;
-  if (before == MR_HTTP_IDLE && state != MR_HTTP_IDLE)
+  if (previous == MR_HTTP_IDLE && state != MR_HTTP_IDLE)
     {
-      c->began = now;
+      c->first_byte_at = now;
       mr_timers_set (c->server->timers, &c->timer, now + limits->head_timeout);
     }
-  if (before < MR_HTTP_BODY && state == MR_HTTP_BODY)
-    mr_timers_set (c->server->timers, &c->timer, now + limits->head_timeout * BODY_TIMES);
+  if (previous < MR_HTTP_BODY && state == MR_HTTP_BODY)
+    mr_timers_set (c->server->timers, &c->timer, now + limits->head_timeout * BODY_TIMEOUT_FACTOR);
   switch (state)
     {
     case MR_HTTP_IDLE:
     case MR_HTTP_HEAD:
       return;
     case MR_HTTP_BODY:
-      if (!c->continued && mr_http_parser_expects_continue (c->parser))
+      if (!c->continue_handled && mr_http_parser_expects_continue (c->parser))
         mr_stream_write (c->stream, MR_TEXT ("HTTP/1.1 100 Continue\r\n\r\n"));
-      c->continued = TRUE;
+      c->continue_handled = TRUE;
       return;
     case MR_HTTP_MALFORMED:
-      S_refuse (c, STATUS_BAD_REQUEST);
+      S_reject (c, STATUS_BAD_REQUEST);
       return;
     case MR_HTTP_HEAD_TOO_LARGE:
-      S_refuse (c, STATUS_HEAD_BIG);
+      S_reject (c, STATUS_HEADERS_TOO_LARGE);
       return;
     case MR_HTTP_BODY_TOO_LARGE:
-      S_refuse (c, STATUS_BODY_BIG);
+      S_reject (c, STATUS_CONTENT_TOO_LARGE);
       return;
     case MR_HTTP_DONE:
       c->busy = TRUE;
       mr_timers_set (c->server->timers, &c->timer, MR_NEVER);
       if (!mr_http_parser_keep_alive (c->parser) || c->server->draining)
-        c->close = TRUE;
-      c->server->host->request (c->server->host, c, c->parser, c->began);
+        c->close_after_write = TRUE;
+      c->server->host->request (c->server->host, c, c->parser, c->first_byte_at);
       return;
     }
 }
 
 static void
-S_received (MrStreamHandler *host, MrStream *stream, MrText bytes)
+S_on_data (MrStreamHandler *handler, MrStream *stream, MrText bytes)
 {
-  MrCaller *c = (MrCaller *) host;
+  MrCaller *c = (MrCaller *) handler;
   (void) stream;
-  if (c->close && !c->busy)
-    return; /* refused; the rest is not read */
+  if (c->close_after_write && !c->busy)
+    return; /* rejected: ignore the remaining bytes */
   gsize used = 0;
   if (!c->busy)
     {
-      MrHttpState before = mr_http_parser_state (c->parser);
+      MrHttpState previous = mr_http_parser_state (c->parser);
       used = mr_http_parser_feed (c->parser, bytes);
       gboolean more = used < bytes.len;
       if (more)
-        g_string_append_len (c->ahead, bytes.data + used, (gssize) (bytes.len - used));
-      S_on_progress (c, mr_now (), before);
+        g_string_append_len (c->pipelined, bytes.data + used, (gssize) (bytes.len - used));
+      S_on_progress (c, mr_now (), previous);
       return;
     }
-  g_string_append_len (c->ahead, bytes.data, (gssize) bytes.len);
-  if (c->ahead->len > AHEAD_MAX + c->server->limits.max_body_bytes)
+  g_string_append_len (c->pipelined, bytes.data, (gssize) bytes.len);
+  if (c->pipelined->len > PIPELINED_BYTES_MAX + c->server->limits.max_body_bytes)
     {
       c->server->host->disconnected (c->server->host, c);
       S_close (c);
@@ -220,9 +221,9 @@
 }
 
 static void
-S_ended (MrStreamHandler *host, MrStream *stream, MrStreamEnd end)
+S_on_end (MrStreamHandler *handler, MrStream *stream, MrStreamEnd end)
 {
-  MrCaller *c = (MrCaller *) host;
+  MrCaller *c = (MrCaller *) handler;
   (void) stream;
   (void) end;
   if (c->busy)
@@ -230,25 +231,25 @@
   S_caller_free (c);
 }
 
-static const MrStreamHandler stream_host = {
-  .on_data = S_received,
-  .on_end = S_ended,
+static const MrStreamHandler stream_handler = {
+  .on_data = S_on_data,
+  .on_end = S_on_end,
 };
 
 static void
-S_accepted (void *user, MrStream *stream)
+S_on_accept (void *user, MrStream *stream)
 {
   MrCallerServer *server = user;
   MrCaller *c = g_new0 (MrCaller, 1);
-  c->host = stream_host;
+  c->handler = stream_handler;
   c->server = server;
   c->stream = stream;
   c->timer.owner = c;
   c->parser = mr_http_parser_new (MR_HTTP_REQUEST);
-  c->ahead = g_string_new (NULL);
+  c->pipelined = g_string_new (NULL);
   c->link.data = c;
   g_queue_push_tail_link (&server->callers, &c->link);
-  mr_stream_set_handler (stream, &c->host);
+  mr_stream_set_handler (stream, &c->handler);
   S_await_request (c, mr_now ());
 }
 
@@ -269,7 +270,7 @@
   server->limits = default_limits;
   server->timers = mr_timers_new ();
   g_queue_init (&server->callers);
-  server->listener = mr_listener_new (loop, ip, port, S_accepted, server);
+  server->listener = mr_listener_new (loop, ip, port, S_on_accept, server);
   if (server->listener)
     return server;
   mr_timers_free (server->timers);
@@ -299,7 +300,7 @@
 {
   server->draining = TRUE;
   for (const GList *link = server->callers.head; link; link = link->next)
-    ((MrCaller *) link->data)->close |= ((MrCaller *) link->data)->busy;
+    ((MrCaller *) link->data)->close_after_write |= ((MrCaller *) link->data)->busy;
 }
 
 void
@@ -313,7 +314,7 @@
     {
       MrCaller *c = link->data;
       link = link->next;
-      if (!c->busy && mr_http_parser_state (c->parser) == MR_HTTP_IDLE && c->ahead->len == 0 &&
+      if (!c->busy && mr_http_parser_state (c->parser) == MR_HTTP_IDLE && c->pipelined->len == 0 &&
           mr_stream_buffered_bytes (c->stream) == 0)
         S_close (c);
     }
@@ -341,42 +342,41 @@
 mr_caller_answer (MrCaller *c, int status, MrText fields, MrText body)
 {
   if (c->server->draining)
-    c->close = TRUE;
-  S_write (c, status, fields, body);
+    c->close_after_write = TRUE;
+  S_write_response (c, status, fields, body);
   c->busy = FALSE;
   c->user = NULL;
   MrTime now = mr_now ();
-  if (c->close)
+  if (c->close_after_write)
     {
-      mr_timers_set (c->server->timers, &c->timer, now + CLOSE_WAIT);
+      mr_timers_set (c->server->timers, &c->timer, now + CLOSE_TIMEOUT);
       return;
     }
   S_await_request (c, now);
-  /* What the caller has sent ahead is read by the next tick: the host is in the
-   * middle of answering. */
-  if (c->ahead->len > 0)
+  /* Pipelined bytes are parsed by the next tick, as the host has not finished answering yet. */
+  if (c->pipelined->len > 0)
     mr_timers_set (c->server->timers, &c->timer, now);
 }
 
 static void
-S_read_ahead (MrCaller *c, MrTime now)
+S_read_pipelined (MrCaller *c, MrTime now)
 {
-  GString *ahead = c->ahead;
-  c->ahead = g_string_new (NULL);
-  gsize used = mr_http_parser_feed (c->parser, mr_text_of (ahead));
-  g_string_append_len (c->ahead, ahead->str + used, (gssize) (ahead->len - used));
-  g_string_free (ahead, TRUE);
+  GString *pipelined = c->pipelined;
+  c->pipelined = g_string_new (NULL);
+  gsize used = mr_http_parser_feed (c->parser, mr_text_of (pipelined));
+  g_string_append_len (c->pipelined, pipelined->str + used, (gssize) (pipelined->len - used));
+  g_string_free (pipelined, TRUE);
   S_on_progress (c, now, MR_HTTP_IDLE);
 }
 
 static void
 S_on_timer (MrCaller *c, MrTime now)
 {
-  if (!c->close && !c->busy && c->ahead->len > 0 &&
+  if (!c->close_after_write && !c->busy && c->pipelined->len > 0 &&
       mr_http_parser_state (c->parser) == MR_HTTP_IDLE)
-    S_read_ahead (c, now);
-  else if (!c->close && mr_http_parser_state (c->parser) != MR_HTTP_IDLE)
-    S_refuse (c, STATUS_TIMEOUT);
+    S_read_pipelined (c, now);
+  else if (!c->close_after_write && mr_http_parser_state (c->parser) != MR_HTTP_IDLE)
+    S_reject (c, STATUS_TIMEOUT);
   else
     S_close (c);
 }
--- a/src/caller_server.h
+++ b/src/caller_server.h
@@ -1,8 +1,8 @@
-/* HTTP/1.1 server side for callers: one request at a time on a connection,
- * bounded in size and time, closed only where no request can be lost.
+/* HTTP/1.1 server for callers.
  *
- * Requests are handed over whole; the host answers each exactly once, at any
- * time, or hears that its caller has gone. */
+ * A connection carries one request at a time, limited in size and time, and is closed only when
+ * no request can be lost by it.  The host gets complete requests and answers each exactly once,
+ * at any time, unless it is told that the caller has disconnected. */
 #pragma once
 
 #include "configuration.h"
@@ -15,40 +15,41 @@
 
 struct _MrCallerServerHost
 {
-  /* A whole request; @request is borrowed until it is answered.  @began: when
-   * its first byte came. */
+  /* A complete request.  @request remains valid until it is answered.  @first_byte_at: when its
+   * first byte arrived. */
   void (*request) (MrCallerServerHost *host,
                    MrCaller *caller,
                    const MrHttpParser *request,
-                   MrTime began);
-  /* The caller of an unanswered request has gone; it must not be answered. */
+                   MrTime first_byte_at);
+  /* The caller of an unanswered request has disconnected; it must not be answered. */
   void (*disconnected) (MrCallerServerHost *host, MrCaller *caller);
 };
 
-/* NULL with a message if the address can't be had. */
+/* Listens on @ip:@port.  Returns NULL and sets the status message on error. */
 MrCallerServer *
 mr_caller_server_new (MrCallerServerHost *host, MrLoop *loop, const char *ip, int port);
-/* After the loop was freed. */
+/* To be called after the loop was freed. */
 void mr_caller_server_free (MrCallerServer *server);
 
 void mr_caller_server_set_limits (MrCallerServer *server, const MrCallerLimits *limits);
 
-/* From now on answers say that the connection closes after them. */
+/* Announces in every response from now on that the connection will be closed. */
 void mr_caller_server_drain (MrCallerServer *server);
-/* Accepts nobody any more and closes connections without a request. */
+/* Stops accepting connections and closes those without a request. */
 void mr_caller_server_close (MrCallerServer *server);
 
 guint mr_caller_server_connections (const MrCallerServer *server);
 
-/* What the host keeps with the caller's request. */
+/* The host's data for the caller's current request. */
 void mr_caller_set_user (MrCaller *caller, gpointer user);
 gpointer mr_caller_user (const MrCaller *caller);
 
-/* Round trip to the caller, as measured when it connected; 0: not known. */
+/* Round-trip time to the caller as the kernel has measured it by the first use of this
+ * function; 0 if unknown. */
 MrTime mr_caller_round_trip (MrCaller *caller);
 
-/* @fields: whole header lines, each with its line end, without framing. */
+/* @fields: complete header lines, each with its line end; framing fields are added here. */
 void mr_caller_answer (MrCaller *caller, int status, MrText fields, MrText body);
 
-/* Carries out what is due; returns when to come back. */
+/* Handles what is due; returns when to be called next. */
 MrTime mr_caller_server_tick (MrCallerServer *server, MrTime now);
--- a/src/document.c
+++ b/src/document.c
@@ -11,20 +11,20 @@
   FIELD_BOOLEAN,
 } FieldType;
 
-/* One row of the schema.  @key may name a key of an object: "a.b". */
+/* One row of the schema.  The @key "a.b" is key "b" of the object "a". */
 typedef struct
 {
   const char *key;
   FieldType type;
-  double least;
-  double most;
-  double fallback;
+  double min;
+  double max;
+  double default_value;
   size_t offset;
 } Field;
 
 #define FIELD(k, t, lo, hi, def, member)                                                           \
   {                                                                                                \
-    .key = (k), .type = (t), .least = (lo), .most = (hi), .fallback = (def),                       \
+    .key = (k), .type = (t), .min = (lo), .max = (hi), .default_value = (def),                     \
     .offset = offsetof (MrDocument, member)                                                        \
   }
 
@@ -90,34 +90,34 @@
 static void
 S_store (MrDocument *document, const Field *field, double value)
 {
-  char *place = (char *) document + field->offset;
+  char *address = (char *) document + field->offset;
   if (field->type == FIELD_INTEGER)
-    *(gint64 *) (void *) place = (gint64) value;
+    *(gint64 *) (void *) address = (gint64) value;
   else if (field->type == FIELD_NUMBER)
-    *(double *) (void *) place = value;
+    *(double *) (void *) address = value;
   else
-    *(gboolean *) (void *) place = value != 0;
+    *(gboolean *) (void *) address = value != 0;
 }
 
 static MrStatus
-S_read_value (MrDocument *document, const Field *field, const json_t *value)
+S_parse_value (MrDocument *document, const Field *field, const json_t *value)
 {
   static const char *const type_names[] = {
     [FIELD_INTEGER] = "a whole number",
     [FIELD_NUMBER] = "a number",
     [FIELD_BOOLEAN] = "true or false",
   };
-  bool fits = field->type == FIELD_INTEGER  ? json_is_integer (value)
-              : field->type == FIELD_NUMBER ? json_is_number (value)
-                                            : json_is_boolean (value);
-  if (!fits)
+  bool matches = field->type == FIELD_INTEGER  ? json_is_integer (value)
+                 : field->type == FIELD_NUMBER ? json_is_number (value)
+                                               : json_is_boolean (value);
+  if (!matches)
     return S_FAIL (MR_DOCUMENT_WRONG_TYPE, "key '%s': expected %s", field->key,
                    type_names[field->type]);
   double number = json_is_boolean (value) ? json_is_true (value) : json_number_value (value);
-  if (number < field->least || number > field->most)
+  if (number < field->min || number > field->max)
     return S_FAIL (MR_DOCUMENT_OUT_OF_RANGE,
                    "key '%s': value %g is out of range, expected %g to %g", field->key, number,
-                   field->least, field->most);
+                   field->min, field->max);
   S_store (document, field, number);
   return MR_OK;
 }
@@ -132,7 +132,7 @@
 }
 
 static MrStatus
-S_read_object (MrDocument *document, json_t *object, const char *prefix)
+S_parse_object (MrDocument *document, json_t *object, const char *prefix)
 {
   const char *key = NULL;
   json_t *value = NULL;
@@ -145,16 +145,16 @@
       {
         if (!json_is_object (value))
           return S_FAIL (MR_DOCUMENT_WRONG_TYPE, "key '%s': expected an object", key);
-        g_autofree char *inner = g_strconcat (key, ".", NULL);
-        MrStatus status = S_read_object (document, value, inner);
+        g_autofree char *inner_prefix = g_strconcat (key, ".", NULL);
+        MrStatus status = S_parse_object (document, value, inner_prefix);
         if (status != MR_OK)
           return status;
         continue;
       }
     const Field *field = S_find_field (path);
     if (!field)
-      return S_FAIL (MR_DOCUMENT_UNKNOWN_KEY, "key '%s': no such key", path);
-    MrStatus status = S_read_value (document, field, value);
+      return S_FAIL (MR_DOCUMENT_UNKNOWN_KEY, "key '%s': unknown key", path);
+    MrStatus status = S_parse_value (document, field, value);
     if (status != MR_OK)
       return status;
   }
@@ -162,7 +162,7 @@
 }
 
 static MrStatus
-S_read_name (MrText name, const json_t *root, MrDocument *document)
+S_check_name (MrText name, const json_t *root, MrDocument *document)
 {
   const json_t *value = json_object_get (root, "service");
   if (!value)
@@ -180,22 +180,22 @@
 }
 
 static MrStatus
-S_check_clashes (const MrDocument *d)
+S_check_conflicts (const MrDocument *d)
 {
   if (d->deadline_ms > d->max_deadline_ms)
     return S_FAIL (MR_DOCUMENT_CONFLICT,
                    "key 'deadline_ms': value %" G_GINT64_FORMAT
-                   " is over max_deadline_ms, %" G_GINT64_FORMAT,
+                   " exceeds max_deadline_ms, %" G_GINT64_FORMAT,
                    d->deadline_ms, d->max_deadline_ms);
   if (d->top_k > d->max_top_k)
     return S_FAIL (MR_DOCUMENT_CONFLICT,
-                   "key 'top_k': value %" G_GINT64_FORMAT " is over max_top_k, %" G_GINT64_FORMAT,
+                   "key 'top_k': value %" G_GINT64_FORMAT " exceeds max_top_k, %" G_GINT64_FORMAT,
                    d->top_k, d->max_top_k);
   return MR_OK;
 }
 
 static MrStatus
-S_load (MrText body, json_t **root)
+S_load_json (MrText body, json_t **root)
 {
   if (body.len > MR_DOCUMENT_MAX)
     return S_FAIL (MR_DOCUMENT_TOO_LARGE, "%zu bytes, expected at most %d", body.len,
@@ -221,16 +221,16 @@
 {
   MrDocument parsed = { 0 };
   for (size_t i = 0; i < G_N_ELEMENTS (schema); i++)
-    S_store (&parsed, &schema[i], schema[i].fallback);
+    S_store (&parsed, &schema[i], schema[i].default_value);
   json_t *root = NULL;
-  MrStatus status = S_load (body, &root);
+  MrStatus status = S_load_json (body, &root);
   if (status != MR_OK)
     return status;
-  status = S_read_name (name, root, &parsed);
+  status = S_check_name (name, root, &parsed);
   if (status == MR_OK)
-    status = S_read_object (&parsed, root, "");
+    status = S_parse_object (&parsed, root, "");
   if (status == MR_OK)
-    status = S_check_clashes (&parsed);
+    status = S_check_conflicts (&parsed);
   if (status == MR_OK)
     *document = parsed;
   json_decref (root);
