--- a/test/prop_documents.cpp
+++ b/test/prop_documents.cpp
@@ -1,9 +1,9 @@
-// Documents in force never revert, invalid ones never come into force, and all
-// daemons agree once faults end.
+// Documents in force never revert, invalid ones never come into force, and all daemons agree
+// once the faults have ended.
 //
-// Four daemons with the real registry, spread and controller; a fake platform
-// with conditional writes, stale reads, outages and lost replies; two operators
-// who edit at once; restarts and cuts between daemons.
+// Four daemons with the real registry, replication and controller; a simulated platform with
+// conditional writes, stale reads, outages and lost replies; two operators who edit at the same
+// time; daemon restarts and network partitions between daemons.
 
 #include "core.hpp"
 #include <cstdio>
@@ -35,57 +35,57 @@
   std::string body;
 };
 
-struct World;
+struct Simulation;
 
 struct Daemon
 {
-  MrControllerHost controller_host; // first
-  MrReplicationHost spread_host;
-  World *world = nullptr;
+  MrControllerHost controller_host; // first member
+  MrReplicationHost replication_host;
+  Simulation *simulation = nullptr;
   int index = 0;
   std::string name;
   MrRegistry *registry = nullptr;
-  MrReplication *spread = nullptr;
+  MrReplication *replication = nullptr;
   MrController *controller = nullptr;
   std::deque<Reply> replies;
   std::deque<std::string> inbox;
-  guint64 in_force = 0; // source of the document in force here
+  guint64 in_force = 0; // version of the document in force at this daemon
 };
 
-struct World
+struct Simulation
 {
   MrTime now = MR_SECOND;
   Daemon daemons[DAEMONS];
-  std::map<std::string, Stored> store; // "kind"
+  std::map<std::string, Stored> store; // by kind of object
   guint64 revision = 100;
   bool down = false;
   bool stale = false;
-  int lose = 0;
+  int replies_to_lose = 0;
   bool cut[DAEMONS][DAEMONS] = {};
-  std::map<guint64, bool> valid; // by document version
+  std::map<guint64, bool> valid; // document version -> whether it is valid
   guint64 accepted_source = 0;
   guint64 last_document = 0;
-  std::string broken;
+  std::string violation;
 
-  World ();
-  ~World ();
-  void birth (Daemon &d);
-  void death (Daemon &d);
+  Simulation ();
+  ~Simulation ();
+  void start_daemon (Daemon &d);
+  void stop_daemon (Daemon &d);
   void edit (int value, bool is_valid, bool from_stale);
   Reply write (const std::string &kind, guint64 expected, const std::string &body);
   Reply read (const std::string &kind);
-  void list (Daemon &d);
-  void settle (Daemon &d);
-  void round ();
+  void deliver_listing (Daemon &d);
+  void process_events (Daemon &d);
+  void run_round ();
   void apply (const Command &c);
-  bool agreed ();
+  bool converges ();
 };
 
 Daemon *
-of_spread (MrReplicationHost *host)
+daemon_of_replication (MrReplicationHost *host)
 {
   return reinterpret_cast<Daemon *> (reinterpret_cast<char *> (host) -
-                                     offsetof (Daemon, spread_host));
+                                     offsetof (Daemon, replication_host));
 }
 
 void
@@ -93,97 +93,97 @@
     MrControllerHost *host, const char *kind, const char *, guint64 expected, MrText body)
 {
   auto *d = reinterpret_cast<Daemon *> (host);
-  d->replies.push_back (d->world->write (kind, expected, std::string (body.data, body.len)));
+  d->replies.push_back (d->simulation->write (kind, expected, std::string (body.data, body.len)));
 }
 
 void
 controller_read (MrControllerHost *host, const char *kind, const char *)
 {
   auto *d = reinterpret_cast<Daemon *> (host);
-  d->replies.push_back (d->world->read (kind));
+  d->replies.push_back (d->simulation->read (kind));
 }
 
 void
-spread_send (MrReplicationHost *host, const char *name, GString *bytes)
+replication_send (MrReplicationHost *host, const char *name, GString *bytes)
 {
-  Daemon *d = of_spread (host);
+  Daemon *d = daemon_of_replication (host);
   int to = name[1] - '0';
-  if (!d->world->cut[d->index][to])
-    d->world->daemons[to].inbox.push_back (std::string (bytes->str, bytes->len));
+  if (!d->simulation->cut[d->index][to])
+    d->simulation->daemons[to].inbox.push_back (std::string (bytes->str, bytes->len));
   g_string_free (bytes, TRUE);
 }
 
 guint
-spread_neighbours (MrReplicationHost *host, const char **names)
+replication_neighbours (MrReplicationHost *host, const char **names)
 {
-  Daemon *d = of_spread (host);
-  names[0] = d->world->daemons[(d->index + 1) % DAEMONS].name.c_str ();
-  names[1] = d->world->daemons[(d->index + 2) % DAEMONS].name.c_str ();
+  Daemon *d = daemon_of_replication (host);
+  names[0] = d->simulation->daemons[(d->index + 1) % DAEMONS].name.c_str ();
+  names[1] = d->simulation->daemons[(d->index + 2) % DAEMONS].name.c_str ();
   return 2;
 }
 
-// The checker: what comes into force at a daemon.
+// The checker: examines what comes into force at a daemon.
 void
-spread_taken (MrReplicationHost *host, const MrObject *object)
+replication_on_taken (MrReplicationHost *host, const MrObject *object)
 {
-  Daemon *d = of_spread (host);
-  World *w = d->world;
+  Daemon *d = daemon_of_replication (host);
+  Simulation *sim = d->simulation;
   MrAcceptedDocument accepted;
   if (mr_accepted_document_parse (mr_text_of (object->body), &accepted) != MR_OK)
     {
-      w->broken = "an unreadable object was accepted";
+      sim->violation = "an unreadable object was accepted";
       return;
     }
   if (accepted.document_version < d->in_force)
-    w->broken = "the document in force reverted at a daemon";
-  if (!w->valid[accepted.document_version])
-    w->broken = "an invalid document came into force";
+    sim->violation = "the document in force reverted at a daemon";
+  if (!sim->valid[accepted.document_version])
+    sim->violation = "an invalid document came into force";
   d->in_force = accepted.document_version;
   mr_accepted_document_clear (&accepted);
-  mr_controller_object_read (d->controller, w->now, "accepted", mr_text (NAME), object->version,
+  mr_controller_object_read (d->controller, sim->now, "accepted", mr_text (NAME), object->version,
                              mr_text_of (object->body));
 }
 
-World::World ()
+Simulation::Simulation ()
 {
   for (int i = 0; i < DAEMONS; i++)
     {
-      daemons[i].world = this;
+      daemons[i].simulation = this;
       daemons[i].index = i;
       daemons[i].name = "d" + std::to_string (i);
-      birth (daemons[i]);
+      start_daemon (daemons[i]);
     }
 }
 
-World::~World ()
+Simulation::~Simulation ()
 {
   for (auto &d : daemons)
-    death (d);
+    stop_daemon (d);
 }
 
 void
-World::birth (Daemon &d)
+Simulation::start_daemon (Daemon &d)
 {
   d.controller_host = { controller_write, controller_read };
-  d.spread_host = { spread_send, spread_neighbours, spread_taken };
+  d.replication_host = { replication_send, replication_neighbours, replication_on_taken };
   d.registry = mr_registry_new ();
-  d.spread = mr_replication_new (&d.spread_host, d.registry, d.name.c_str ());
+  d.replication = mr_replication_new (&d.replication_host, d.registry, d.name.c_str ());
   d.controller = mr_controller_new (&d.controller_host);
   d.in_force = 0;
 }
 
 void
-World::death (Daemon &d)
+Simulation::stop_daemon (Daemon &d)
 {
   mr_controller_free (d.controller);
-  mr_replication_free (d.spread);
+  mr_replication_free (d.replication);
   mr_registry_free (d.registry);
   d.replies.clear ();
   d.inbox.clear ();
 }
 
 Reply
-World::write (const std::string &kind, guint64 expected, const std::string &body)
+Simulation::write (const std::string &kind, guint64 expected, const std::string &body)
 {
   if (down)
     return { false, kind, MR_ERROR_UNAVAILABLE, 0, "" };
@@ -199,20 +199,20 @@
       MrAcceptedDocument accepted;
       mr_accepted_document_parse (mr_text (body.c_str ()), &accepted);
       if (accepted.document_version < accepted_source)
-        broken = "the accepted document reverted at the platform";
+        violation = "the accepted document reverted at the platform";
       accepted_source = accepted.document_version;
       mr_accepted_document_clear (&accepted);
     }
-  if (lose > 0)
+  if (replies_to_lose > 0)
     {
-      lose--;
+      replies_to_lose--;
       return { false, kind, MR_ERROR_OUTCOME_UNKNOWN, 0, "" };
     }
   return { false, kind, MR_OK, s.version, "" };
 }
 
 Reply
-World::read (const std::string &kind)
+Simulation::read (const std::string &kind)
 {
   if (down)
     return { false, kind, MR_ERROR_UNAVAILABLE, 0, "" };
@@ -221,10 +221,10 @@
   return { true, kind, MR_OK, old ? s.old_version : s.version, old ? s.old_body : s.body };
 }
 
-// Two operators: one edits what stands, the other what stood before; the second
-// gets a conflict, as the conditional write promises.
+// Two operators: one edits the current version, the other the one before it, which the
+// conditional write refuses with a conflict.
 void
-World::edit (int value, bool is_valid, bool from_stale)
+Simulation::edit (int value, bool is_valid, bool from_stale)
 {
   Stored &s = store["documents"];
   if (down || (from_stale && s.old_version > 0))
@@ -238,9 +238,10 @@
   last_document = s.version;
 }
 
-// What a watch gives: documents to the controller, accepted ones to the spread.
+// Delivers what a watch yields: documents to the controller, accepted documents to the
+// replication.
 void
-World::list (Daemon &d)
+Simulation::deliver_listing (Daemon &d)
 {
   if (down)
     return;
@@ -250,12 +251,12 @@
     mr_controller_document_changed (d.controller, mr_text (NAME), document.version,
                                     mr_text (document.body.c_str ()), now);
   if (accepted.version > 0)
-    mr_replication_offer (d.spread, MR_OBJECT_ACCEPTED, mr_text (NAME), accepted.version,
+    mr_replication_offer (d.replication, MR_OBJECT_ACCEPTED, mr_text (NAME), accepted.version,
                           mr_text (accepted.body.c_str ()), nullptr);
 }
 
 void
-World::settle (Daemon &d)
+Simulation::process_events (Daemon &d)
 {
   auto inbox = std::move (d.inbox);
   d.inbox.clear ();
@@ -264,10 +265,10 @@
       MrWireMessage message;
       if (mr_wire_decode ({ bytes.data (), bytes.size () }, &message) != MR_OK)
         {
-          broken = "a message of ours can't be read";
+          violation = "a message of another daemon can't be decoded";
           continue;
         }
-      mr_replication_receive (d.spread, now, &message);
+      mr_replication_receive (d.replication, now, &message);
       mr_wire_message_clear (&message);
     }
   auto replies = std::move (d.replies);
@@ -280,24 +281,24 @@
       mr_controller_object_written (d.controller, now, r.kind.c_str (), mr_text (NAME), r.status,
                                     r.version);
   mr_controller_tick (d.controller, now);
-  mr_replication_tick (d.spread, now);
+  mr_replication_tick (d.replication, now);
 }
 
 void
-World::round ()
+Simulation::run_round ()
 {
   now += MR_SECOND;
   for (auto &d : daemons)
-    settle (d);
+    process_events (d);
   for (auto &d : daemons)
     for (auto &other : daemons)
       if (d.index != other.index && !cut[other.index][d.index])
-        mr_replication_receive_digest (d.spread, now, other.name.c_str (),
+        mr_replication_receive_digest (d.replication, now, other.name.c_str (),
                                        mr_registry_digest (other.registry), FALSE);
 }
 
 void
-World::apply (const Command &c)
+Simulation::apply (const Command &c)
 {
   Daemon &d = daemons[c.a % DAEMONS];
   switch (c.kind)
@@ -312,41 +313,41 @@
       stale = !stale;
       break;
     case 3:
-      lose = 1 + c.b % 2;
+      replies_to_lose = 1 + c.b % 2;
       break;
     case 4:
-      death (d);
-      birth (d);
+      stop_daemon (d);
+      start_daemon (d);
       break;
     case 5:
       cut[c.a % DAEMONS][c.b % DAEMONS] = !cut[c.a % DAEMONS][c.b % DAEMONS];
       break;
     case 6:
     case 7:
-      list (d);
+      deliver_listing (d);
       break;
     case 8:
-      settle (d);
+      process_events (d);
       break;
     default:
-      round ();
+      run_round ();
       break;
     }
 }
 
-// All faults end; everybody must come to the same, newest state.
+// Ends all faults; then all daemons must converge to the same, newest state.
 bool
-World::agreed ()
+Simulation::converges ()
 {
   down = stale = false;
-  lose = 0;
+  replies_to_lose = 0;
   for (auto &row : cut)
     for (bool &c : row)
       c = false;
   for (int i = 0; i < 40; i++)
     {
-      list (daemons[i % DAEMONS]);
-      round ();
+      deliver_listing (daemons[i % DAEMONS]);
+      run_round ();
     }
   for (auto &d : daemons)
     {
@@ -361,16 +362,16 @@
 std::string
 run (const std::vector<Command> &commands)
 {
-  World w;
+  Simulation sim;
   for (auto &c : commands)
     {
-      w.apply (c);
-      if (!w.broken.empty ())
-        return w.broken;
+      sim.apply (c);
+      if (!sim.violation.empty ())
+        return sim.violation;
     }
-  if (!w.agreed ())
+  if (!sim.converges ())
     return "daemons did not agree after the faults";
-  return w.broken;
+  return sim.violation;
 }
 
 std::string
@@ -389,8 +390,8 @@
     auto base = *rc::gen::inRange<guint32> (0, 1U << 30);
     for (guint32 i = 0; i < 10; i++)
       {
-        std::string broken = run_seed (base + i);
-        RC_ASSERT (broken == "");
+        std::string violation = run_seed (base + i);
+        RC_ASSERT (violation == "");
       }
   });
   ok = fails_without ("higher versions only", MR_GUARD_MONOTONIC, 5000, run_seed) && ok;
--- a/test/prop_orders.cpp
+++ b/test/prop_orders.cpp
@@ -1,10 +1,10 @@
-// Orders run at most once, and "not run" is never wrong.
+// An order runs at most once, and a caller is told "not run" only if that is true.
 //
-// Three daemons with the real ticket, record and dispatch modules, two fake
-// targets that count what ran.  Commands: tickets, orders presented anywhere,
-// kills and restarts, freezes, time, and targets that drop the connection
-// before or after running, shed, drain, refuse or stay silent.  An independent
-// checker keeps the history of each ticket.
+// Three daemons with the real ticket, record and dispatch modules, and two simulated targets
+// that count the orders they run.  Commands: issue tickets, present them at any daemon, kill
+// and restart daemons, freeze them, let time pass, and make targets drop the connection before
+// or after running an order, shed, drain, refuse or stay silent.  An independent checker keeps
+// the history of each ticket.
 
 #include "core.hpp"
 #include <cstdio>
@@ -23,7 +23,7 @@
 
 constexpr int DAEMONS = 3;
 constexpr int TARGETS = 2;
-constexpr MrTime LIFE = 60 * MR_SECOND;
+constexpr MrTime TICKET_LIFE = 60 * MR_SECOND;
 constexpr MrTime RECORD_LIFE = 600 * MR_SECOND;
 constexpr MrTime DEADLINE = 500 * MR_MS;
 
@@ -33,21 +33,21 @@
   SHED,
   DRAIN,
   REFUSE,
-  DROP_BEFORE, // the connection ends before the order ran
-  DROP_AFTER,  // it ran, and only the answer is lost
-  SILENT,      // it ran, and nothing more is heard
+  DROP_BEFORE, // the connection ends before the order has run
+  DROP_AFTER,  // the order runs, but its answer is lost
+  SILENT,      // the order runs, and the target stays silent
   BEHAVIOURS,
 };
 
-struct World;
+struct Simulation;
 
-struct Pending // a call whose end has not been reported
+struct PendingCall // a call whose end has not been reported
 {
   guint64 id;
   MrCallOutcome outcome;
 };
 
-struct Message // an order on its way to the issuer of its ticket
+struct Message // an order that is being forwarded to the issuer of its ticket
 {
   std::string ticket;
   int from;
@@ -55,52 +55,52 @@
 
 struct Daemon
 {
-  MrDispatchHost host; // first, so that the host is cast to its daemon
-  World *world = nullptr;
+  MrDispatchHost host; // first member, so that the host can be cast to its daemon
+  Simulation *simulation = nullptr;
   int index = 0;
   bool frozen = false;
   std::string name;
-  MrOrderRecords *orders = nullptr;
+  MrOrderRecords *order_records = nullptr;
   MrDispatch *dispatch = nullptr;
-  std::vector<Pending> pending;
+  std::vector<PendingCall> pending_calls;
   std::vector<Message> inbox;
   std::vector<MrPartial *> partials;
-  std::map<guint64, std::pair<guint64, std::string> > dispatched; // batch -> sequence, ticket
+  std::map<guint64, std::pair<guint64, std::string> > dispatched; // batch id -> sequence, ticket
 };
 
-struct World
+struct Simulation
 {
   MrTime now = MR_SECOND;
-  guint32 births = 0;
+  guint32 starts = 0;
   guint64 batches = 0;
   Daemon daemons[DAEMONS];
   int behaviour[TARGETS] = { SERVE, SERVE };
   std::map<std::string, int> runs;
   std::vector<std::string> tickets;
   MrShardMap *map = nullptr;
-  std::string broken; // the first promise that broke
+  std::string violation; // the last violated guarantee; empty if none
 
-  World ();
-  ~World ();
-  void birth (Daemon &d);
-  void death (Daemon &d);
-  void answer (const std::string &ticket, MrResult result);
+  Simulation ();
+  ~Simulation ();
+  void start_daemon (Daemon &d);
+  void stop_daemon (Daemon &d);
+  void check_answer (const std::string &ticket, MrResult result);
   bool decide (Daemon &d, const std::string &ticket);
   void present (Daemon &d, const std::string &ticket);
-  void settle (Daemon &d);
-  void step (MrTime by);
+  void process_events (Daemon &d);
+  void step (MrTime elapsed);
   void apply (const Command &c);
 };
 
 void
-start_call (MrDispatchHost *host, const MrShardCall *start)
+start_call (MrDispatchHost *host, const MrShardCall *call)
 {
   auto *d = reinterpret_cast<Daemon *> (host);
-  World *w = d->world;
-  int target = start->target->port - 1;
+  Simulation *sim = d->simulation;
+  int target = call->target->port - 1;
   MrCallOutcome outcome = MR_CALL_ANSWER;
   bool ran = true;
-  switch (w->behaviour[target])
+  switch (sim->behaviour[target])
     {
     case SHED:
       outcome = MR_CALL_SHED;
@@ -128,15 +128,15 @@
       break;
     }
   if (ran)
-    w->runs[start->batch->ticket]++;
+    sim->runs[call->batch->ticket]++;
   if (outcome != MR_CALL_SILENT)
-    d->pending.push_back ({ start->id, outcome });
+    d->pending_calls.push_back ({ call->id, outcome });
 }
 
 void
 cancel_call (MrDispatchHost *host, guint64 id)
 {
-  reinterpret_cast<Daemon *> (host)->pending.push_back ({ id, MR_CALL_SILENT });
+  reinterpret_cast<Daemon *> (host)->pending_calls.push_back ({ id, MR_CALL_SILENT });
 }
 
 void
@@ -145,7 +145,7 @@
 }
 
 void
-renew (MrDispatchHost *, const MrTargetState *)
+reconnect (MrDispatchHost *, const MrTargetState *)
 {
 }
 
@@ -155,7 +155,7 @@
   reinterpret_cast<Daemon *> (host)->partials.push_back (partial);
 }
 
-World::World ()
+Simulation::Simulation ()
 {
   static const char json[]
       = R"({"snapshot":"s1","targets":[{"id":"t0","ip":"10.0.0.1","port":1,"domain":"a"},
@@ -164,98 +164,100 @@
   map = mr_shard_map_parse (mr_text ("shop"), 1, mr_text (json));
 for (int i = 0; i < DAEMONS; i++)
   {
-    daemons[i].world = this;
+    daemons[i].simulation = this;
     daemons[i].index = i;
     daemons[i].name = "d" + std::to_string (i);
-    birth (daemons[i]);
+    start_daemon (daemons[i]);
   }
 }
 
-World::~World ()
+Simulation::~Simulation ()
 {
   for (auto &d : daemons)
-    death (d);
+    stop_daemon (d);
   mr_shard_map_unref (map);
 }
 
 void
-World::birth (Daemon &d)
+Simulation::start_daemon (Daemon &d)
 {
   guint8 random[32] = { 0 };
-  births++;
+  starts++;
   for (int i = 0; i < 32; i++)
-    random[i] = (guint8) (births * 37 + i);
-  MrOrderRecordLimits limits = { LIFE, RECORD_LIFE, 50 };
-  d.host = { start_call, cancel_call, probe, renew, done };
-  d.orders = mr_order_records_new (mr_ticket_issuer_new (d.name.c_str (), now, random), &limits);
+    random[i] = (guint8) (starts * 37 + i);
+  MrOrderRecordLimits limits = { TICKET_LIFE, RECORD_LIFE, 50 };
+  d.host = { start_call, cancel_call, probe, reconnect, done };
+  d.order_records =
+      mr_order_records_new (mr_ticket_issuer_new (d.name.c_str (), now, random), &limits);
   MrDispatchInfo info = {};
-  info.seed = births;
+  info.seed = starts;
   d.dispatch = mr_dispatch_new (&d.host, &info);
   d.frozen = false;
 }
 
 void
-World::death (Daemon &d)
+Simulation::stop_daemon (Daemon &d)
 {
   for (auto *partial : d.partials)
     mr_partial_free (partial);
   d.partials.clear ();
-  d.pending.clear ();
+  d.pending_calls.clear ();
   d.inbox.clear ();
   d.dispatched.clear ();
   mr_dispatch_free (d.dispatch);
-  mr_order_records_free (d.orders);
+  mr_order_records_free (d.order_records);
 }
 
-// The checker: what a caller is told against what ran.
+// The checker: compares what a caller is told with what ran.
 void
-World::answer (const std::string &ticket, MrResult result)
+Simulation::check_answer (const std::string &ticket, MrResult result)
 {
   int count = runs[ticket];
   if (mr_result_ran (result) == MR_RAN_NO && count > 0)
-    broken = "told not run, but it ran";
+    violation = "reported as not run, but it ran";
   if (result == MR_RESULT_DONE && count != 1)
-    broken = "told done, but it did not run just once";
+    violation = "reported as done, but it did not run exactly once";
 }
 
-// What the process that got the request does; false: the ticket is not its own.
+// Decides on an order at the daemon that received it; false if another incarnation issued the
+// ticket.
 bool
-World::decide (Daemon &d, const std::string &ticket)
+Simulation::decide (Daemon &d, const std::string &ticket)
 {
-  MrOrderDecision v = mr_order_records_begin (d.orders, now, mr_text (ticket.c_str ()),
-                                              mr_text ("shop"), mr_text ("order"));
-  if (v.action == MR_ORDER_ACTION_FORWARD)
+  MrOrderDecision decision = mr_order_records_begin (
+      d.order_records, now, mr_text (ticket.c_str ()), mr_text ("shop"), mr_text ("order"));
+  if (decision.action == MR_ORDER_ACTION_FORWARD)
     return false;
-  if (v.action == MR_ORDER_ACTION_ANSWER)
+  if (decision.action == MR_ORDER_ACTION_ANSWER)
     {
-      answer (ticket, v.result);
+      check_answer (ticket, decision.result);
       return true;
     }
   MrBatch *batch = mr_batch_new (++batches, map, 1);
   batch->is_order = TRUE;
   batch->top_k = 1;
   batch->deadline = now + DEADLINE;
-  batch->shards[0] = (guint) (v.ticket.sequence % TARGETS);
+  batch->shards[0] = (guint) (decision.ticket.sequence % TARGETS);
   g_strlcpy (batch->ticket, ticket.c_str (), sizeof batch->ticket);
-  d.dispatched[batch->id] = { v.ticket.sequence, ticket };
+  d.dispatched[batch->id] = { decision.ticket.sequence, ticket };
   mr_dispatch_submit (d.dispatch, now, batch);
   return true;
 }
 
 void
-World::present (Daemon &d, const std::string &ticket)
+Simulation::present (Daemon &d, const std::string &ticket)
 {
   if (d.frozen)
-    return; // nothing answers the caller
+    return; // the caller gets no answer
   if (decide (d, ticket))
     return;
-  for (auto &home : daemons)
-    if (ticket.rfind (home.name + ".", 0) == 0)
-      home.inbox.push_back ({ ticket, d.index });
+  for (auto &issuer : daemons)
+    if (ticket.rfind (issuer.name + ".", 0) == 0)
+      issuer.inbox.push_back ({ ticket, d.index });
 }
 
 MrResult
-result_of (const MrPartial *partial)
+partial_result (const MrPartial *partial)
 {
   if (partial->kind != MR_PARTIAL_ANSWER)
     return MR_RESULT_DEADLINE;
@@ -264,27 +266,27 @@
   return partial->order_outcome == MR_ORDER_UNKNOWN ? MR_RESULT_UNKNOWN : MR_RESULT_NO_TARGET;
 }
 
-// Everything that has reached a running daemon is worked on.
+// Processes everything that has reached the daemon, unless it is frozen.
 void
-World::settle (Daemon &d)
+Simulation::process_events (Daemon &d)
 {
   if (d.frozen)
     return;
-  for (bool more = true; more;)
+  for (bool progress = true; progress;)
     {
-      more = false;
+      progress = false;
       mr_dispatch_tick (d.dispatch, now);
-      auto pending = std::move (d.pending);
-      d.pending.clear ();
-      for (auto &p : pending)
+      auto pending_calls = std::move (d.pending_calls);
+      d.pending_calls.clear ();
+      for (auto &p : pending_calls)
         {
-          MrCallResult end = {};
-          end.id = p.id;
-          end.outcome = p.outcome;
-          end.echoed_id = p.id;
-          end.order_reply = mr_text ("{}");
-          mr_dispatch_call_end (d.dispatch, now, &end);
-          more = true;
+          MrCallResult result = {};
+          result.id = p.id;
+          result.outcome = p.outcome;
+          result.echoed_id = p.id;
+          result.order_reply = mr_text ("{}");
+          mr_dispatch_call_end (d.dispatch, now, &result);
+          progress = true;
         }
       auto partials = std::move (d.partials);
       d.partials.clear ();
@@ -293,34 +295,34 @@
           auto found = d.dispatched.find (partial->batch_id);
           if (partial->kind != MR_PARTIAL_IN_PROGRESS && found != d.dispatched.end ())
             {
-              mr_order_records_end (d.orders, found->second.first, result_of (partial),
+              mr_order_records_end (d.order_records, found->second.first, partial_result (partial),
                                     mr_text ("{}"));
-              answer (found->second.second, result_of (partial));
+              check_answer (found->second.second, partial_result (partial));
               d.dispatched.erase (found);
             }
           mr_partial_free (partial);
-          more = true;
+          progress = true;
         }
       auto inbox = std::move (d.inbox);
       d.inbox.clear ();
       for (auto &m : inbox)
         {
-          decide (d, m.ticket); // another incarnation's ticket is told as unknown
-          more = true;
+          decide (d, m.ticket); // a ticket of another incarnation is reported as unknown
+          progress = true;
         }
     }
 }
 
 void
-World::step (MrTime by)
+Simulation::step (MrTime elapsed)
 {
-  now += by;
+  now += elapsed;
   for (auto &d : daemons)
-    settle (d);
+    process_events (d);
 }
 
 void
-World::apply (const Command &c)
+Simulation::apply (const Command &c)
 {
   Daemon &d = daemons[c.a % DAEMONS];
   char text[MR_TICKET_MAX_LENGTH + 1];
@@ -329,7 +331,7 @@
     case 0:
       if (!d.frozen)
         {
-          mr_ticket_issue (mr_order_records_issuer (d.orders), now, text);
+          mr_ticket_issue (mr_order_records_issuer (d.order_records), now, text);
           tickets.push_back (text);
         }
       break;
@@ -340,8 +342,8 @@
         present (d, tickets[(size_t) c.b % tickets.size ()]);
       break;
     case 4:
-      death (d);
-      birth (d);
+      stop_daemon (d);
+      start_daemon (d);
       break;
     case 5:
       d.frozen = !d.frozen;
@@ -350,7 +352,9 @@
       behaviour[c.a % TARGETS] = c.b % BEHAVIOURS;
       break;
     case 7:
-      step (c.b % 8 == 0 ? RECORD_LIFE + LIFE / 2 : c.b % 8 == 1 ? LIFE : 300 * MR_MS);
+      step (c.b % 8 == 0   ? RECORD_LIFE + TICKET_LIFE / 2
+            : c.b % 8 == 1 ? TICKET_LIFE
+                           : 300 * MR_MS);
       break;
     default:
       step (1);
@@ -358,20 +362,20 @@
     }
   for (auto &[ticket, count] : runs)
     if (count > 1)
-      broken = "an order ran twice";
+      violation = "an order ran twice";
 }
 
 std::string
 run (const std::vector<Command> &commands)
 {
-  World w;
+  Simulation sim;
   for (auto &c : commands)
     {
-      w.apply (c);
-      if (!w.broken.empty ())
+      sim.apply (c);
+      if (!sim.violation.empty ())
         break;
     }
-  return w.broken;
+  return sim.violation;
 }
 
 std::string
@@ -390,8 +394,8 @@
     auto base = *rc::gen::inRange<guint32> (0, 1U << 30);
     for (guint32 i = 0; i < 10; i++)
       {
-        std::string broken = run_seed (base + i);
-        RC_ASSERT (broken == "");
+        std::string violation = run_seed (base + i);
+        RC_ASSERT (violation == "");
       }
   });
   ok = fails_without ("record of a dispatched ticket", MR_GUARD_ORDER_RECORD, 5000, run_seed) && ok;
--- a/test/test_document.c
+++ b/test/test_document.c
@@ -1,5 +1,5 @@
-/* Service documents: every kind of bad input is refused with its number and the
- * place; good ones are read whole. */
+/* Service documents: every kind of invalid input is refused with its error number and a message
+ * that names the place; valid documents are read completely. */
 
 #include "document.h"
 
@@ -11,35 +11,36 @@
 
 typedef struct
 {
-  const char *what;
+  const char *name;
   const char *body;
-  const char *error; /* start of the message; NULL: valid */
-  const char *place; /* what the message must name */
+  const char *error;         /* start of the message; NULL if valid */
+  const char *expected_text; /* what the message must name */
 } Case;
 
 static const Case cases[] = {
-  { "least", "{\"service\":\"shop\"}", NULL, NULL },
+  { "smallest document", "{\"service\":\"shop\"}", NULL, NULL },
   { "all sections", "{\"service\":\"shop\",\"orders\":true,\"objectives\":{\"latency_ms\":90}}",
     NULL, NULL },
   { "not JSON", "{\"service\":", "D503", "line 1" },
   { "empty", "", "D503", "line" },
-  { "a list", "[1]", "D506", "object" },
+  { "an array", "[1]", "D506", "object" },
   { "duplicate key", "{\"service\":\"shop\",\"top_k\":1,\"top_k\":2}", "D504", "top_k" },
   { "unknown key", "{\"service\":\"shop\",\"topk\":1}", "D505", "topk" },
-  { "unknown inner key", "{\"service\":\"shop\",\"objectives\":{\"x\":1}}", "D505",
+  { "unknown key of a section", "{\"service\":\"shop\",\"objectives\":{\"x\":1}}", "D505",
     "objectives.x" },
-  { "inner key outside", "{\"service\":\"shop\",\"latency_ms\":1}", "D505", "latency_ms" },
-  { "section is no object", "{\"service\":\"shop\",\"objectives\":3}", "D506", "objectives" },
+  { "key of a section at top level", "{\"service\":\"shop\",\"latency_ms\":1}", "D505",
+    "latency_ms" },
+  { "section is not an object", "{\"service\":\"shop\",\"objectives\":3}", "D506", "objectives" },
   { "wrong type", "{\"service\":\"shop\",\"top_k\":\"5\"}", "D506", "whole number" },
   { "a fraction", "{\"service\":\"shop\",\"top_k\":1.5}", "D506", "top_k" },
-  { "no boolean", "{\"service\":\"shop\",\"orders\":1}", "D506", "true or false" },
+  { "not a boolean", "{\"service\":\"shop\",\"orders\":1}", "D506", "true or false" },
   { "too small", "{\"service\":\"shop\",\"top_k\":0}", "D507", "expected 1 to 1000" },
   { "too large", "{\"service\":\"shop\",\"extra_calls\":0.6}", "D507", "0.6" },
-  { "no name", "{\"top_k\":3}", "D508", "service" },
-  { "another name", "{\"service\":\"other\"}", "D509", "other" },
-  { "clash of deadlines", "{\"service\":\"shop\",\"deadline_ms\":900,\"max_deadline_ms\":800}",
+  { "missing name", "{\"top_k\":3}", "D508", "service" },
+  { "wrong name", "{\"service\":\"other\"}", "D509", "other" },
+  { "conflicting deadlines", "{\"service\":\"shop\",\"deadline_ms\":900,\"max_deadline_ms\":800}",
     "D510", "max_deadline_ms" },
-  { "clash of hits", "{\"service\":\"shop\",\"top_k\":200}", "D510", "max_top_k" },
+  { "conflicting numbers of hits", "{\"service\":\"shop\",\"top_k\":200}", "D510", "max_top_k" },
   { "not UTF-8", "{\"service\":\"shop\xff\"}", "D502", "UTF-8" },
 };
 
@@ -58,8 +59,8 @@
           continue;
         }
       if (status != MR_ERROR_INVALID || !g_str_has_prefix (mr_status_message (), c->error) ||
-          !strstr (mr_status_message (), c->place))
-        fail_msg ("%s: expected %s naming '%s', got '%s'", c->what, c->error, c->place,
+          !strstr (mr_status_message (), c->expected_text))
+        fail_msg ("%s: expected %s naming '%s', got '%s'", c->name, c->error, c->expected_text,
                   mr_status_message ());
     }
 }
@@ -81,7 +82,7 @@
   assert_int_equal (d.deadline_ms, 150);
 }
 
-/* A refused document leaves what was there untouched. */
+/* A refused document leaves the output unchanged. */
 static void
 test_failure_changes_nothing (void **state)
 {
--- a/test/test_target_client.c
+++ b/test/test_target_client.c
@@ -1,12 +1,12 @@
-/* Probes of targets over real sockets: who still takes connections.
+/* Probes of targets over real sockets: does the target still accept connections?
  *
- * What callers saw: a request that ends its targets ended up to seven of one service, where
- * three are the bound.  A process that ends closes its calls' connections before its
- * listener.  The probe that follows a broken call at once was still accepted, by the kernel
- * on behalf of the ending process, so that the target passed for a living one and its end
- * was no evidence against the request.  Proof: of 300 processes that ended, 276 accepted a
- * connection that was made as soon as the other one broke, and reset it within 0.1 ms; on
- * a busy machine within 6 ms. */
+ * A process that exits closes the connections of its calls before its listener.  In between,
+ * the kernel accepts a probe on behalf of the exiting process.  Such a target was taken for a
+ * living one, so that its exit did not count as evidence against the request that had caused
+ * it, and one request could end up to seven targets of a service, where the bound is three.
+ *
+ * Of 300 processes that exited, 276 accepted a connection made as soon as the other one broke,
+ * and reset it within 0.1 ms, on a busy machine within 6 ms. */
 
 #include "target_client.h"
 
@@ -26,17 +26,17 @@
   BACKLOG = 16,
 };
 
-/* A probe has its result well before a request that waits for it goes on without. */
-static const MrTime RESULT_MOST = 90 * MR_MS;
-/* How long a second result of the same probe is waited for. */
-static const MrTime QUIET = 50 * MR_MS;
+/* Longest time for the result of a probe; well below the time that a request waits for it. */
+static const MrTime RESULT_TIMEOUT = 90 * MR_MS;
+/* Time for which the test waits for a second, wrong result of the same probe. */
+static const MrTime SECOND_RESULT_WAIT = 50 * MR_MS;
 
 typedef enum
 {
-  TARGET_LIVES,  /* its listener accepts; nobody reads */
-  TARGET_GONE,   /* nobody listens */
-  TARGET_ENDS,   /* its listener is closed some time after the probe began */
-  TARGET_AT_CAP, /* accepts and resets each connection, and listens on */
+  TARGET_LISTENS, /* the listener accepts; nobody reads */
+  TARGET_CLOSED,  /* the listener is closed */
+  TARGET_EXITS,   /* the listener is closed some time after the probe began */
+  TARGET_RESETS,  /* accepts and resets each connection, and goes on listening */
 } Behaviour;
 
 typedef struct
@@ -48,17 +48,17 @@
 } Case;
 
 static const Case cases[] = {
-  { "it lives", TARGET_LIVES, MR_NEVER, TRUE },
-  { "it is gone", TARGET_GONE, MR_NEVER, FALSE },
-  { "it ends, and accepts a moment longer", TARGET_ENDS, 1 * MR_MS, FALSE },
-  { "the same on a busy machine", TARGET_ENDS, 6 * MR_MS, FALSE },
-  /* One that has too many connections is no dead one. */
-  { "it resets connections over its cap", TARGET_AT_CAP, MR_NEVER, TRUE },
+  { "listens", TARGET_LISTENS, MR_NEVER, TRUE },
+  { "closed", TARGET_CLOSED, MR_NEVER, FALSE },
+  { "exits, and accepts a moment longer", TARGET_EXITS, 1 * MR_MS, FALSE },
+  { "exits on a busy machine", TARGET_EXITS, 6 * MR_MS, FALSE },
+  /* A target that is over its connection limit is not dead. */
+  { "resets connections over its limit", TARGET_RESETS, MR_NEVER, TRUE },
 };
 
 typedef struct
 {
-  MrLoopHandler loop_host;
+  MrLoopHandler loop_handler;
   MrTargetClientHost client_host;
   MrTargetClient *client;
   int listener;
@@ -74,12 +74,15 @@
 }
 
 static void
-S_on_ended (MrTargetClientHost *host, guint64 id, MrCallOutcome outcome, MrHttpParser *answer)
+S_on_call_ended (MrTargetClientHost *host,
+                 guint64 id,
+                 MrCallOutcome outcome,
+                 MrHttpParser *response)
 {
   (void) host;
   (void) id;
   (void) outcome;
-  mr_http_parser_free (answer);
+  mr_http_parser_free (response);
 }
 
 static void
@@ -91,11 +94,11 @@
   f->answered = answered;
 }
 
-/* Often enough that the listener is closed on time. */
+/* Short interval, so that the listener is closed on time. */
 static MrTime
-S_on_tick (MrLoopHandler *host, MrTime now)
+S_on_tick (MrLoopHandler *handler, MrTime now)
 {
-  Fixture *f = (Fixture *) host;
+  Fixture *f = (Fixture *) handler;
   return MIN (mr_target_client_tick (f->client, now), now + MR_MS);
 }
 
@@ -132,33 +135,35 @@
 }
 
 static void
-S_play (const Case *c)
+S_run_case (const Case *c)
 {
-  Fixture f = { .loop_host = { .on_tick = S_on_tick },
-                .client_host = { .call_ended = S_on_ended, .probed = S_on_probed } };
-  MrLoop *loop = mr_loop_new (&f.loop_host, DESCRIPTORS);
+  Fixture f = { .loop_handler = { .on_tick = S_on_tick },
+                .client_host = { .call_ended = S_on_call_ended, .probed = S_on_probed } };
+  MrLoop *loop = mr_loop_new (&f.loop_handler, DESCRIPTORS);
   f.client = mr_target_client_new (&f.client_host, loop, NULL);
   S_listen (&f);
-  if (c->behaviour == TARGET_GONE)
+  if (c->behaviour == TARGET_CLOSED)
     S_stop_listening (&f);
   MrTarget target = { .id = "i-1", .ip = "127.0.0.1", .port = f.port };
   MrTargetState *state = mr_target_state_new (&target, "127.0.0.1");
-  MrTime begun = mr_now ();
-  MrTime told = 0;
-  assert_int_equal (mr_health_on_connection_error (&state->health, begun), MR_HEALTH_ACTION_PROBE);
-  mr_target_client_probe (f.client, begun, state);
-  for (MrTime now = begun; now < begun + RESULT_MOST || now < told + QUIET; now = mr_now ())
+  MrTime started_at = mr_now ();
+  MrTime result_at = 0;
+  assert_int_equal (mr_health_on_connection_error (&state->health, started_at),
+                    MR_HEALTH_ACTION_PROBE);
+  mr_target_client_probe (f.client, started_at, state);
+  for (MrTime now = started_at;
+       now < started_at + RESULT_TIMEOUT || now < result_at + SECOND_RESULT_WAIT; now = mr_now ())
     {
-      if (c->behaviour == TARGET_AT_CAP)
+      if (c->behaviour == TARGET_RESETS)
         S_reset_accepted (&f);
-      if (c->closes_after != MR_NEVER && now >= begun + c->closes_after)
+      if (c->closes_after != MR_NEVER && now >= started_at + c->closes_after)
         S_stop_listening (&f);
       mr_loop_step (loop);
-      told = f.results > 0 && told == 0 ? mr_now () : told;
+      result_at = f.results > 0 && result_at == 0 ? mr_now () : result_at;
     }
-  if (f.results != 1 || f.answered != c->answered || told > begun + RESULT_MOST)
+  if (f.results != 1 || f.answered != c->answered || result_at > started_at + RESULT_TIMEOUT)
     fail_msg ("%s: %u results, answered %d, after %d ms", c->name, f.results, f.answered,
-              (int) ((told - begun) / MR_MS));
+              (int) ((result_at - started_at) / MR_MS));
   S_stop_listening (&f);
   mr_loop_free (loop);
   mr_target_client_free (f.client);
@@ -170,7 +175,7 @@
 {
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
-    S_play (&cases[i]);
+    S_run_case (&cases[i]);
 }
 
 int
