--- a/test/test_docs.c
+++ b/test/test_docs.c
@@ -1,5 +1,6 @@
 /* The tables of docs/ name every result code and event of the code, and no
- * others; the pages are looked for beside the sources. */
+ * others; files, functions, types and constants that the pages name exist. The
+ * pages are looked for beside the sources. */
 
 #include "log.h"
 #include "result.h"
@@ -9,6 +10,7 @@
 #include <stddef.h>
 #include <stdio.h>
 #include <stdlib.h>
+#include <string.h>
 
 #include <cmocka.h>
 
@@ -91,6 +93,211 @@
   assert_true (files > 100);
 }
 
+/* Adds the paths of all files under @path, or @path itself, relative to the sources. */
+static void
+S_add_files (GPtrArray *files, const char *path)
+{
+  g_autofree char *full = g_build_filename (MR_SOURCE_DIR, path, NULL);
+  GDir *dir = g_dir_open (full, 0, NULL);
+  if (!dir)
+    {
+      g_ptr_array_add (files, g_strdup (path));
+      return;
+    }
+  for (const char *name = g_dir_read_name (dir); name; name = g_dir_read_name (dir))
+    {
+      g_autofree char *inner = g_build_filename (path, name, NULL);
+      S_add_files (files, inner);
+    }
+  g_dir_close (dir);
+}
+
+static GPtrArray *
+S_list_files (const char *const *paths, gsize count)
+{
+  GPtrArray *files = g_ptr_array_new_with_free_func (g_free);
+  for (gsize i = 0; i < count; i++)
+    S_add_files (files, paths[i]);
+  return files;
+}
+
+static gboolean
+S_is_code (const char *path)
+{
+  static const char *const endings[] = { ".c",  ".h",  ".cpp",           ".hpp",
+                                         ".sh", ".py", "CMakeLists.txt", "Makefile" };
+  for (gsize i = 0; i < G_N_ELEMENTS (endings); i++)
+    if (g_str_has_suffix (path, endings[i]))
+      return TRUE;
+  return FALSE;
+}
+
+/* All words of the code, and the names of its files without their endings: tests and benches are
+ * named after these. */
+static GHashTable *
+S_list_words (const GPtrArray *code)
+{
+  GHashTable *words = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  for (guint i = 0; i < code->len; i++)
+    {
+      const char *path = code->pdata[i];
+      g_autofree char *stem = g_path_get_basename (path);
+      stem[strcspn (stem, ".")] = '\0';
+      g_hash_table_add (words, g_strdup (stem));
+      /* What this file names in its tables is not in the code for that. */
+      if (!S_is_code (path) || g_str_has_suffix (path, "test/test_docs.c"))
+        continue;
+      g_autofree char *text = S_read (path);
+      for (const char *at = text; *at;)
+        {
+          gsize length = 0;
+          while (g_ascii_isalnum (at[length]) || at[length] == '_')
+            length++;
+          if (length > 0)
+            g_hash_table_add (words, g_strndup (at, length));
+          at += MAX (length, 1);
+        }
+    }
+  return words;
+}
+
+/* TRUE if the code has @name, or, where it ends with '*', a name that begins so. */
+static gboolean
+S_has_word (GHashTable *words, const char *name)
+{
+  if (!g_str_has_suffix (name, "*"))
+    return g_hash_table_contains (words, name);
+  g_autofree char *prefix = g_strndup (name, strlen (name) - 1);
+  GHashTableIter iter;
+  gpointer word = NULL;
+  g_hash_table_iter_init (&iter, words);
+  while (g_hash_table_iter_next (&iter, &word, NULL))
+    if (g_str_has_prefix (word, prefix))
+      return TRUE;
+  return FALSE;
+}
+
+/* The path of the file that a page calls @name, with or without folders; NULL if there is none. */
+static const char *
+S_find_file (const GPtrArray *code, const char *name)
+{
+  g_autofree char *pattern = g_strdup_printf ("*/%s", name);
+  for (guint i = 0; i < code->len; i++)
+    {
+      g_autofree char *path = g_strdup_printf ("/%s", (const char *) code->pdata[i]);
+      if (g_pattern_match_simple (pattern, path))
+        return code->pdata[i];
+    }
+  return NULL;
+}
+
+/* TRUE if the file that a page calls @file holds @function as a whole word. */
+static gboolean
+S_file_holds (const GPtrArray *code, const char *file, const char *function)
+{
+  const char *path = S_find_file (code, file);
+  if (!path)
+    return FALSE;
+  g_autofree char *text = S_read (path);
+  g_autofree char *pattern = g_strdup_printf ("\\b%s\\b", function);
+  return g_regex_match_simple (pattern, text, 0, 0);
+}
+
+typedef gboolean (*NameIsKnown) (const GMatchInfo *match, const GPtrArray *code, GHashTable *words);
+
+static gboolean
+S_is_known_file (const GMatchInfo *match, const GPtrArray *code, GHashTable *words)
+{
+  (void) words;
+  g_autofree char *name = g_match_info_fetch (match, 0);
+  return S_find_file (code, name) != NULL;
+}
+
+static gboolean
+S_is_known_word (const GMatchInfo *match, const GPtrArray *code, GHashTable *words)
+{
+  (void) code;
+  g_autofree char *name = g_match_info_fetch (match, 0);
+  return S_has_word (words, name);
+}
+
+static gboolean
+S_is_in_its_file (const GMatchInfo *match, const GPtrArray *code, GHashTable *words)
+{
+  (void) words;
+  g_autofree char *function = g_match_info_fetch (match, 1);
+  g_autofree char *file = g_match_info_fetch (match, 2);
+  return S_file_holds (code, file, function);
+}
+
+/* Prints the names in a page that match @pattern and that the code does not have; returns how many
+ * match and adds to @stale. */
+static guint
+S_check_names (const char *page,
+               const char *pattern,
+               NameIsKnown is_known,
+               const GPtrArray *code,
+               GHashTable *words,
+               guint *stale)
+{
+  g_autofree char *text = S_read (page);
+  GRegex *regex = g_regex_new (pattern, 0, 0, NULL);
+  assert_non_null (regex);
+  GMatchInfo *match = NULL;
+  guint count = 0;
+  g_regex_match (regex, text, 0, &match);
+  for (; g_match_info_matches (match); g_match_info_next (match, NULL))
+    {
+      count++;
+      if (is_known (match, code, words))
+        continue;
+      g_autofree char *name = g_match_info_fetch (match, 0);
+      print_error ("%s names %s, which the code does not have\n", page, name);
+      (*stale)++;
+    }
+  g_match_info_free (match);
+  g_regex_unref (regex);
+  return count;
+}
+
+/* Names in the pages that the code does not have any more: a reader would look for them in vain. A
+ * star stands for the rest of a name ("relay*.c", "bench_*"). */
+static void
+test_names_in_pages (void **state)
+{
+  static const char *const code_paths[] = { "src",  "platform", "demo",           "bench",
+                                            "test", ".ci",      "CMakeLists.txt", "Makefile" };
+  static const char *const page_paths[] = { "docs", "man", "README.md" };
+  static const struct
+  {
+    const char *pattern;
+    NameIsKnown is_known;
+  } kinds[] = {
+    { "(?<![\\w/*.-])[\\w/*.-]*[\\w*]\\.(c|h|cpp|hpp|sh)(?!\\w)", S_is_known_file },
+    { "\\b(mr_|MR_|Mr[A-Z]|S_|test_|prop_|process_|bench_)\\w*(?!\\w)\\*?", S_is_known_word },
+    /* a private function and, in brackets, its file */
+    { "\\b(S_\\w+)`? \\(([\\w/]+\\.c)\\b", S_is_in_its_file },
+  };
+  (void) state;
+  GPtrArray *code = S_list_files (code_paths, G_N_ELEMENTS (code_paths));
+  GPtrArray *pages = S_list_files (page_paths, G_N_ELEMENTS (page_paths));
+  GHashTable *words = S_list_words (code);
+  guint stale = 0;
+  for (gsize kind = 0; kind < G_N_ELEMENTS (kinds); kind++)
+    {
+      guint count = 0;
+      for (guint i = 0; i < pages->len; i++)
+        count += S_check_names (pages->pdata[i], kinds[kind].pattern, kinds[kind].is_known, code,
+                                words, &stale);
+      assert_true (count > 10);
+    }
+  g_hash_table_unref (words);
+  g_ptr_array_unref (pages);
+  g_ptr_array_unref (code);
+  if (stale > 0)
+    fail_msg ("%u names in the pages are not in the code", stale);
+}
+
 int
 main (void)
 {
@@ -98,6 +305,7 @@
     cmocka_unit_test (test_result_codes),
     cmocka_unit_test (test_events),
     cmocka_unit_test (test_platform_names),
+    cmocka_unit_test (test_names_in_pages),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
