--- a/src/wire.c
+++ b/src/wire.c
@@ -5,15 +5,15 @@
 
 enum
 {
-  HEADER_FIELDS = 4,
-  /* Members and targets resemble each other, so that a list takes a quarter of its
-   * bytes and bodies a tenth; what is smaller than this gains little. */
-  DEFLATE_LEAST = 600,
-  DEFLATE_LEVEL = 1, /* the quickest; higher ones save less than a tenth more */
+  HEADER_FIELD_COUNT = 4,
+  /* Members and targets are similar to each other, so that a compressed list takes a quarter
+   * of its size and a list of bodies a tenth.  Smaller messages gain little. */
+  DEFLATE_MIN_BYTES = 600,
+  DEFLATE_LEVEL = 1, /* the fastest; higher levels save less than a tenth more */
 };
 
 static int
-S_write (void *data, const char *bytes, size_t len)
+S_append_output (void *data, const char *bytes, size_t len)
 {
   g_string_append_len (data, bytes, (gssize) len);
   return 0;
@@ -33,18 +33,18 @@
   S_pack_text (p, mr_text (string));
 }
 
-/* Starts a message of @fields fields of its own. */
+/* Starts a message and writes its header; @fields type-specific fields follow. */
 static GString *
 S_begin (msgpack_packer *p, MrWireType type, const char *sender, guint fields)
 {
-  GString *out = g_string_new (NULL);
-  msgpack_packer_init (p, out, S_write);
-  msgpack_pack_array (p, HEADER_FIELDS + fields);
+  GString *message = g_string_new (NULL);
+  msgpack_packer_init (p, message, S_append_output);
+  msgpack_pack_array (p, HEADER_FIELD_COUNT + fields);
   S_pack_string (p, MR_WIRE_MAGIC);
   msgpack_pack_int (p, MR_WIRE_VERSION);
   msgpack_pack_int (p, (int) type);
   S_pack_string (p, sender);
-  return out;
+  return message;
 }
 
 static void
@@ -70,9 +70,9 @@
 {
   msgpack_packer p;
   MrWireType type = heartbeat->is_full_list ? MR_WIRE_MEMBERS : MR_WIRE_HEARTBEAT;
-  GString *out = S_begin (&p, type, sender, 9);
+  GString *message = S_begin (&p, type, sender, 9);
   msgpack_pack_int (&p, (int) heartbeat->kind | (int) heartbeat->members_request << 1 |
-                            (heartbeat->no_updates ? MR_WIRE_WATCH_ONLY : 0));
+                            (heartbeat->no_updates ? MR_WIRE_FLAG_NO_UPDATES : 0));
   msgpack_pack_uint64 (&p, heartbeat->ping_id);
   msgpack_pack_uint64 (&p, heartbeat->updates_after);
   msgpack_pack_uint64 (&p, heartbeat->updates_upto);
@@ -83,51 +83,51 @@
   msgpack_pack_array (&p, heartbeat->update_count);
   for (guint i = 0; i < heartbeat->update_count; i++)
     S_pack_member (&p, &heartbeat->updates[i]);
-  return out;
+  return message;
 }
 
 static void
-S_pack_news (msgpack_packer *p, const MrObjectSummary *news, guint count)
+S_pack_summaries (msgpack_packer *p, const MrObjectSummary *summaries, guint count)
 {
   msgpack_pack_array (p, count);
   for (guint i = 0; i < count; i++)
     {
       msgpack_pack_array (p, 3);
-      msgpack_pack_int (p, (int) news[i].kind);
-      S_pack_string (p, news[i].name);
-      msgpack_pack_uint64 (p, news[i].version);
+      msgpack_pack_int (p, (int) summaries[i].kind);
+      S_pack_string (p, summaries[i].name);
+      msgpack_pack_uint64 (p, summaries[i].version);
     }
 }
 
 GString *
-mr_wire_announce (const char *sender, const MrObjectSummary *news, guint count)
+mr_wire_announce (const char *sender, const MrObjectSummary *summaries, guint count)
 {
   msgpack_packer p;
-  GString *out = S_begin (&p, MR_WIRE_ANNOUNCE, sender, 1);
-  S_pack_news (&p, news, count);
-  return out;
+  GString *message = S_begin (&p, MR_WIRE_ANNOUNCE, sender, 1);
+  S_pack_summaries (&p, summaries, count);
+  return message;
 }
 
 GString *
-mr_wire_get (const char *sender, const MrObjectSummary *news, guint count)
+mr_wire_get (const char *sender, const MrObjectSummary *summaries, guint count)
 {
   msgpack_packer p;
-  GString *out = S_begin (&p, MR_WIRE_GET, sender, 1);
+  GString *message = S_begin (&p, MR_WIRE_GET, sender, 1);
   msgpack_pack_array (&p, count);
   for (guint i = 0; i < count; i++)
     {
       msgpack_pack_array (&p, 2);
-      msgpack_pack_int (&p, (int) news[i].kind);
-      S_pack_string (&p, news[i].name);
+      msgpack_pack_int (&p, (int) summaries[i].kind);
+      S_pack_string (&p, summaries[i].name);
     }
-  return out;
+  return message;
 }
 
 GString *
 mr_wire_objects (const char *sender, const MrObject *const *objects, guint count)
 {
   msgpack_packer p;
-  GString *out = S_begin (&p, MR_WIRE_OBJECTS, sender, 1);
+  GString *message = S_begin (&p, MR_WIRE_OBJECTS, sender, 1);
   msgpack_pack_array (&p, count);
   for (guint i = 0; i < count; i++)
     {
@@ -137,7 +137,7 @@
       msgpack_pack_uint64 (&p, objects[i]->version);
       S_pack_text (&p, mr_text_of (objects[i]->body));
     }
-  return out;
+  return message;
 }
 
 static void
@@ -150,14 +150,14 @@
 GString *
 mr_wire_range_summaries (const char *sender,
                          MrHashRange range,
-                         const MrObjectSummary *news,
+                         const MrObjectSummary *summaries,
                          guint count)
 {
   msgpack_packer p;
-  GString *out = S_begin (&p, MR_WIRE_RANGE_SUMMARIES, sender, 3);
+  GString *message = S_begin (&p, MR_WIRE_RANGE_SUMMARIES, sender, 3);
   S_pack_range (&p, range);
-  S_pack_news (&p, news, count);
-  return out;
+  S_pack_summaries (&p, summaries, count);
+  return message;
 }
 
 GString *
@@ -166,21 +166,21 @@
                        const guint64 digests[MR_HASH_RANGE_PARTS])
 {
   msgpack_packer p;
-  GString *out = S_begin (&p, MR_WIRE_RANGE_DIGESTS, sender, 3);
+  GString *message = S_begin (&p, MR_WIRE_RANGE_DIGESTS, sender, 3);
   S_pack_range (&p, range);
   msgpack_pack_array (&p, MR_HASH_RANGE_PARTS);
   for (guint i = 0; i < MR_HASH_RANGE_PARTS; i++)
     msgpack_pack_uint64 (&p, digests[i]);
-  return out;
+  return message;
 }
 
-/* The type follows the array's head (one byte, or three for more than 15 items), the
- * magic (a byte of length and two letters) and the version (one byte). */
+/* The type follows the array header (one byte, or three for more than 15 elements), the magic
+ * (a length byte and two letters) and the version (one byte). */
 MrWireType
 mr_wire_type (const GString *bytes)
 {
-  gsize head = (guint8) bytes->str[0] == 0xdc ? 3 : 1;
-  return (MrWireType) bytes->str[head + 4];
+  gsize array_header_len = (guint8) bytes->str[0] == 0xdc ? 3 : 1;
+  return (MrWireType) bytes->str[array_header_len + 4];
 }
 
 GString *
@@ -190,7 +190,7 @@
                gint64 remaining_us)
 {
   msgpack_packer p;
-  GString *out = S_begin (&p, MR_WIRE_BATCH, sender, 13);
+  GString *message = S_begin (&p, MR_WIRE_BATCH, sender, 13);
   msgpack_pack_uint64 (&p, batch->id);
   msgpack_pack_uint64 (&p, root_incarnation);
   S_pack_string (&p, batch->map->service);
@@ -206,14 +206,14 @@
   msgpack_pack_array (&p, batch->shard_count);
   for (guint i = 0; i < batch->shard_count; i++)
     msgpack_pack_uint32 (&p, batch->shards[i]);
-  return out;
+  return message;
 }
 
 GString *
 mr_wire_partial (const char *sender, guint64 root_incarnation, const MrPartial *partial)
 {
   msgpack_packer p;
-  GString *out = S_begin (&p, MR_WIRE_PARTIAL, sender, 9);
+  GString *message = S_begin (&p, MR_WIRE_PARTIAL, sender, 9);
   msgpack_pack_uint64 (&p, partial->batch_id);
   msgpack_pack_uint64 (&p, root_incarnation);
   msgpack_pack_int (&p, (int) partial->kind);
@@ -233,50 +233,50 @@
       S_pack_string (&p, partial->hits[i].key);
       S_pack_string (&p, partial->hits[i].data);
     }
-  return out;
+  return message;
 }
 
 GString *
 mr_wire_cancel_batch (const char *sender, guint64 root_incarnation, guint64 batch_id)
 {
   msgpack_packer p;
-  GString *out = S_begin (&p, MR_WIRE_CANCEL_BATCH, sender, 2);
+  GString *message = S_begin (&p, MR_WIRE_CANCEL_BATCH, sender, 2);
   msgpack_pack_uint64 (&p, root_incarnation);
   msgpack_pack_uint64 (&p, batch_id);
-  return out;
+  return message;
 }
 
 GString *
 mr_wire_order (const char *sender, const MrWireOrder *order)
 {
   msgpack_packer p;
-  GString *out = S_begin (&p, MR_WIRE_ORDER, sender, 6);
+  GString *message = S_begin (&p, MR_WIRE_ORDER, sender, 6);
   msgpack_pack_uint64 (&p, order->request_id);
   msgpack_pack_uint64 (&p, order->sender_incarnation);
   S_pack_string (&p, order->service);
   S_pack_string (&p, order->ticket);
   msgpack_pack_int64 (&p, order->remaining_ms);
   S_pack_text (&p, order->body);
-  return out;
+  return message;
 }
 
 GString *
 mr_wire_order_result (const char *sender, const MrWireOrderResult *result)
 {
   msgpack_packer p;
-  GString *out = S_begin (&p, MR_WIRE_ORDER_RESULT, sender, 5);
+  GString *message = S_begin (&p, MR_WIRE_ORDER_RESULT, sender, 5);
   msgpack_pack_uint64 (&p, result->request_id);
   msgpack_pack_uint64 (&p, result->sender_incarnation);
   msgpack_pack_int (&p, (int) result->result);
   msgpack_pack_int64 (&p, result->retry_after_ms);
   S_pack_text (&p, result->body);
-  return out;
+  return message;
 }
 
 GString *
 mr_wire_deflate (const char *sender, GString *bytes)
 {
-  if (bytes->len < DEFLATE_LEAST)
+  if (bytes->len < DEFLATE_MIN_BYTES)
     return bytes;
   uLongf len = compressBound (bytes->len);
   g_autofree char *deflated = g_malloc (len);
@@ -285,9 +285,9 @@
       len >= bytes->len)
     return bytes;
   msgpack_packer p;
-  GString *out = S_begin (&p, MR_WIRE_DEFLATED, sender, 2);
+  GString *message = S_begin (&p, MR_WIRE_DEFLATED, sender, 2);
   msgpack_pack_uint32 (&p, (uint32_t) bytes->len);
   S_pack_text (&p, (MrText){ .data = deflated, .len = len });
   g_string_free (bytes, TRUE);
-  return out;
+  return message;
 }
--- a/src/wire.h
+++ b/src/wire.h
@@ -1,8 +1,9 @@
-/* Messages between daemons, as msgpack arrays: wire.c writes, wire_decode.c reads.
+/* Wire format of the messages between daemons, as msgpack arrays.  wire.c encodes them,
+ * wire_decode.c decodes them.
  *
- * [ "mr", version, type, sender, fields... ].  A message of another version, a
- * wrong type or a value out of bounds is refused whole; docs/PEER-PROTOCOL.md
- * lists the fields. */
+ * Layout: [ "mr", version, type, sender, fields... ].  A message with another version, an
+ * unknown type or a value out of range is rejected as a whole.  docs/PEER-PROTOCOL.md lists the
+ * fields. */
 #pragma once
 
 #include "batch.h"
@@ -13,12 +14,13 @@
 enum
 {
   MR_WIRE_VERSION = 4,
-  MR_WIRE_MAX_BYTES = 4 * 1024 * 1024, /* bytes of a message, decompressed */
-  MR_WIRE_MEMBER_FIELD_COUNT = 11,     /* of a member's entry */
+  MR_WIRE_MAX_BYTES = 4 * 1024 * 1024, /* of a message, after decompression */
+  MR_WIRE_MEMBER_FIELD_COUNT = 11,     /* elements of an encoded member */
 };
 
-/* Beside a heartbeat's kind (1) and what it asks for (2, 4). */
-#define MR_WIRE_WATCH_ONLY 8
+/* Flag for a heartbeat without updates.  It shares an integer with the heartbeat's kind (bit 0)
+ * and its members request (bits 1 and 2). */
+#define MR_WIRE_FLAG_NO_UPDATES 8
 
 /* First field of every message. */
 #define MR_WIRE_MAGIC "mr"
@@ -26,20 +28,21 @@
 typedef enum
 {
   MR_WIRE_HEARTBEAT = 1,
-  MR_WIRE_ANNOUNCE = 2, /* versions of objects that the sender has just taken */
-  MR_WIRE_GET = 3,      /* asks for objects' bodies */
-  MR_WIRE_OBJECTS = 4,  /* bodies */
+  MR_WIRE_ANNOUNCE = 2, /* versions of objects that the sender has just stored */
+  MR_WIRE_GET = 3,      /* requests the bodies of objects */
+  MR_WIRE_OBJECTS = 4,  /* objects with their bodies */
   MR_WIRE_BATCH = 5,
   MR_WIRE_PARTIAL = 6,
-  MR_WIRE_CANCEL_BATCH = 7, /* a batch whose partial is not needed any more */
+  MR_WIRE_CANCEL_BATCH = 7, /* the result of the batch is no longer needed */
   MR_WIRE_ORDER = 8,        /* to the daemon that issued the ticket */
   MR_WIRE_ORDER_RESULT = 9,
-  MR_WIRE_RANGE_SUMMARIES = 10, /* versions of all objects that the sender holds in a range */
-  MR_WIRE_RANGE_DIGESTS = 11,   /* digests of the parts of a range */
-  MR_WIRE_MEMBERS = 12,         /* a heartbeat that carries every member */
-  MR_WIRE_DEFLATED = 13,        /* one of the others, compressed */
+  MR_WIRE_RANGE_SUMMARIES = 10, /* versions of all objects of the sender in a hash range */
+  MR_WIRE_RANGE_DIGESTS = 11,   /* digests of the subranges of a hash range */
+  MR_WIRE_MEMBERS = 12,         /* a heartbeat that lists all members */
+  MR_WIRE_DEFLATED = 13,        /* one of the above, compressed */
 } MrWireType;
 
+/* Identity and version of an object, without its body. */
 typedef struct
 {
   MrObjectKind kind;
@@ -49,14 +52,14 @@
 
 typedef struct
 {
-  MrObjectSummary summary; /* what and which version */
+  MrObjectSummary summary;
   MrText body;
 } MrWireObject;
 
-/* An order on its way to the issuer of its ticket. */
+/* An order that is forwarded to the daemon that issued its ticket. */
 typedef struct
 {
-  guint64 request_id; /* of the sender */
+  guint64 request_id; /* assigned by the sender */
   guint64 sender_incarnation;
   char service[MR_NAME_MAX + 1];
   char ticket[160];
@@ -73,7 +76,7 @@
   MrText body;
 } MrWireOrderResult;
 
-/* A batch without its map, which the receiver looks up. */
+/* A batch without its shard map, which the receiver looks up by service and generation. */
 typedef struct
 {
   guint64 id;
@@ -89,40 +92,41 @@
   guint *shards;
 } MrWireBatch;
 
-/* One decoded message, never MR_WIRE_DEFLATED; texts are borrowed from its bytes. */
+/* A decoded message.  The type is never MR_WIRE_DEFLATED: such messages are decompressed first.
+ * Texts point into the decoded bytes. */
 typedef struct
 {
   MrWireType type;
   char sender[MR_NAME_MAX + 1];
   MrHeartbeat heartbeat;
   guint summary_count;
-  MrObjectSummary *summaries; /* of NEWS and LIST; of GET without versions */
-  MrHashRange range;          /* of LIST and RANGES */
+  MrObjectSummary *summaries; /* of ANNOUNCE and RANGE_SUMMARIES; of GET, without versions */
+  MrHashRange range;          /* of RANGE_SUMMARIES and RANGE_DIGESTS */
   guint64 digests[MR_HASH_RANGE_PARTS];
   guint object_count;
   MrWireObject *objects;
   MrWireBatch batch;
-  guint64 root_incarnation; /* of PARTIAL and FORGET */
-  guint64 batch_id;         /* of FORGET */
+  guint64 root_incarnation; /* of PARTIAL and CANCEL_BATCH */
+  guint64 batch_id;         /* of CANCEL_BATCH */
   MrPartial *partial;
   MrWireOrder order;
   MrWireOrderResult order_result;
-  GString *inflated; /* what the texts are borrowed from; NULL: from the bytes decoded */
+  GString *inflated; /* decompressed bytes that the texts point into; NULL if not compressed */
 } MrWireMessage;
 
 GString *mr_wire_heartbeat (const char *sender, const MrHeartbeat *heartbeat);
-GString *mr_wire_announce (const char *sender, const MrObjectSummary *news, guint count);
-/* Asks for the newest version of each of @news. */
-GString *mr_wire_get (const char *sender, const MrObjectSummary *news, guint count);
+GString *mr_wire_announce (const char *sender, const MrObjectSummary *summaries, guint count);
+/* Requests the newest version of each object in @summaries; their versions are not sent. */
+GString *mr_wire_get (const char *sender, const MrObjectSummary *summaries, guint count);
 GString *mr_wire_objects (const char *sender, const MrObject *const *objects, guint count);
 GString *mr_wire_range_summaries (const char *sender,
                                   MrHashRange range,
-                                  const MrObjectSummary *news,
+                                  const MrObjectSummary *summaries,
                                   guint count);
 GString *mr_wire_range_digests (const char *sender,
                                 MrHashRange range,
                                 const guint64 digests[MR_HASH_RANGE_PARTS]);
-/* @remaining_us: time left until the batch's deadline. */
+/* @remaining_us: time until the deadline of the batch. */
 GString *mr_wire_batch (const char *sender,
                         guint64 root_incarnation,
                         const MrBatch *batch,
@@ -132,14 +136,15 @@
 GString *mr_wire_order (const char *sender, const MrWireOrder *order);
 GString *mr_wire_order_result (const char *sender, const MrWireOrderResult *result);
 
-/* Replaces a message that is large enough to gain by it with one of MR_WIRE_DEFLATED.
- * Takes @bytes. */
+/* Compresses a message into one of type MR_WIRE_DEFLATED, or returns it unchanged if it is too
+ * small or does not shrink.  Takes ownership of @bytes. */
 GString *mr_wire_deflate (const char *sender, GString *bytes);
 
-/* Type of a message that one of the functions above has made. */
+/* Type of a message that was encoded by one of the functions above. */
 MrWireType mr_wire_type (const GString *bytes);
 
-/* MR_ERROR_INVALID with a message on anything malformed; @message is then
- * empty.  On MR_OK it is cleared with mr_wire_message_clear (). */
+/* Fails with MR_ERROR_INVALID on a malformed message and with MR_ERROR_LIMIT on one over
+ * MR_WIRE_MAX_BYTES; @message is then empty.  On MR_OK the caller clears @message with
+ * mr_wire_message_clear (). */
 MrStatus mr_wire_decode (MrText bytes, MrWireMessage *message);
 void mr_wire_message_clear (MrWireMessage *message);
--- a/test/prop_decoders.cpp
+++ b/test/prop_decoders.cpp
@@ -1,6 +1,6 @@
-// Every decoder of outside text takes what is right and refuses, without harm,
-// what was cut, changed or made up: documents, shard maps, accepted objects,
-// tickets, targets' answers.  (Messages between daemons: prop_wire.)
+// Property tests of the decoders of external text: documents, shard maps, accepted objects, tickets
+// and responses of targets.  Valid samples are accepted, and truncated, modified or random text is
+// either rejected or gives values within limits.  (Messages between daemons: prop_wire.)
 
 #include "core.hpp"
 #include <cstdio>
@@ -29,7 +29,7 @@
   R"({"id":"0123abcd-7","snapshot":"s1","shard":"h0","hits":[{"key":"r1","score":1.5,"data":{}}]})",
 };
 
-// Runs every decoder on the same bytes; values that are taken keep to bounds.
+// Runs every decoder on the same bytes; decoded values must be within their limits.
 void
 decode_all (const std::string &bytes)
 {
@@ -54,10 +54,10 @@
   for (bool order : { false, true })
     for (int status : { 200, 503 })
       {
-        MrHttpResponse answer = { MR_HTTP_OK, status, text (bytes) };
+        MrHttpResponse response = { MR_HTTP_OK, status, text (bytes) };
         MrTargetReply reply = {};
-        mr_target_reply_parse (&answer, order, "0123abcd", &reply);
-        // Only the target's own word makes an order "not run".
+        mr_target_reply_parse (&response, order, "0123abcd", &reply);
+        // An order counts as not run only if the target itself says so.
         bool refusal = reply.end.outcome == MR_CALL_SHED || reply.end.outcome == MR_CALL_DRAINING;
         if (order && refusal)
           RC_ASSERT (bytes.find ("false") != std::string::npos);
@@ -77,8 +77,8 @@
   ok = map != nullptr && ok;
   mr_shard_map_unref (map);
   ok = mr_ticket_parse (text (samples[3]), &ticket) == MR_OK && ok;
-  std::printf ("right samples are %s\n", ok ? "taken" : "REFUSED");
-  ok = rc::check ("cut and changed text does no harm",
+  std::printf ("valid samples are %s\n", ok ? "accepted" : "REJECTED");
+  ok = rc::check ("modified and truncated text is rejected or decoded within limits",
                   [] {
                     std::string bytes = samples[*rc::gen::inRange (0, 5)];
                     int changes = *rc::gen::inRange (0, 5);
@@ -89,7 +89,7 @@
                     decode_all (bytes);
                   }) &&
        ok;
-  ok = rc::check ("made-up text does no harm",
+  ok = rc::check ("random text is rejected or decoded within limits",
                   [] { decode_all (*rc::gen::arbitrary<std::string> ()); }) &&
        ok;
   return ok ? 0 : 1;
--- a/test/prop_wire.cpp
+++ b/test/prop_wire.cpp
@@ -1,5 +1,5 @@
-// Messages between daemons survive their own encoding, and bytes that were cut,
-// changed or made up never do harm: they are refused, or give bounded values.
+// Property tests of the wire format between daemons: encoded messages can be decoded, and
+// truncated, modified or random bytes are either rejected or give values within their limits.
 
 #include "core.hpp"
 #include <cstdio>
@@ -9,10 +9,10 @@
 namespace
 {
 
-constexpr int KINDS = 13; // that any_message makes
+constexpr int KIND_COUNT = 13; // of encode_message
 
 MrMember
-member (int n)
+make_member (int n)
 {
   MrMember m = {};
   g_snprintf (m.name, sizeof m.name, "d%d", n);
@@ -28,7 +28,7 @@
 }
 
 std::string
-take (GString *bytes)
+to_string (GString *bytes)
 {
   std::string out (bytes->str, bytes->len);
   g_string_free (bytes, TRUE);
@@ -36,7 +36,7 @@
 }
 
 MrShardMap *
-map ()
+make_shard_map ()
 {
   static const char json[] = R"({"snapshot":"s1","targets":[{"id":"t","ip":"10.0.0.1","port":1,
     "domain":"a"}],"shards":[{"name":"h0","weight":1,"replicas":["t"]},
@@ -46,7 +46,7 @@
 }
 
 std::string
-partial_bytes (guint hits)
+encode_partial (guint hits)
 {
   MrPartial *p = mr_partial_new (99, MR_PARTIAL_ANSWER);
   p->covered_shards = g_new (guint, 2);
@@ -61,22 +61,22 @@
       p->hits[p->hit_count].key = g_strdup_printf ("k%u", p->hit_count);
       p->hits[p->hit_count].data = g_strdup ("{}");
     }
-  std::string bytes = take (mr_wire_partial ("d1", 5, p));
+  std::string bytes = to_string (mr_wire_partial ("d1", 5, p));
   mr_partial_free (p);
   return bytes;
 }
 
 std::string
-any_message (int kind, int n)
+encode_message (int kind, int n)
 {
   MrHeartbeat h = {};
-  MrMember updates[3] = { member (n), member (n + 1), member (n + 2) };
-  MrObjectSummary news[2] = {};
-  news[0].kind = MR_OBJECT_ACCEPTED;
-  news[0].version = (guint64) n;
-  news[1].kind = MR_OBJECT_VM;
-  constexpr guint MANY = 60; // enough that it pays to compress them
-  std::vector<MrObjectSummary> many (MANY, news[0]);
+  MrMember updates[3] = { make_member (n), make_member (n + 1), make_member (n + 2) };
+  MrObjectSummary summaries[2] = {};
+  summaries[0].kind = MR_OBJECT_ACCEPTED;
+  summaries[0].version = (guint64) n;
+  summaries[1].kind = MR_OBJECT_VM;
+  constexpr guint MANY = 60; // enough for compression to take effect
+  std::vector<MrObjectSummary> many (MANY, summaries[0]);
   MrHashRange range = { (guint64) n << 40, 10 };
   guint64 digests[MR_HASH_RANGE_PARTS] = { (guint64) n, 1 };
   char name[] = "shop";
@@ -94,70 +94,70 @@
   MrWireOrderResult result = {};
   result.result = MR_RESULT_DONE;
   result.body = mr_text ("{}");
-  MrShardMap *m = map ();
-  MrBatch *batch = mr_batch_new ((guint64) n, m, 2);
+  MrShardMap *map = make_shard_map ();
+  MrBatch *batch = mr_batch_new ((guint64) n, map, 2);
   batch->shards[1] = 1;
   g_string_assign (batch->payload, "ripe round");
   std::string out;
-  switch (kind % KINDS)
+  switch (kind % KIND_COUNT)
     {
     case 0:
-      h.from = member (n);
+      h.from = make_member (n);
       h.ping_id = (guint64) n;
       h.updates = updates;
       h.update_count = (guint) n % 4;
-      out = take (mr_wire_heartbeat ("d1", &h));
+      out = to_string (mr_wire_heartbeat ("d1", &h));
       break;
     case 1:
-      out = take (mr_wire_announce ("d1", news, 2));
+      out = to_string (mr_wire_announce ("d1", summaries, 2));
       break;
     case 2:
-      out = take (mr_wire_get ("d1", news, 2));
+      out = to_string (mr_wire_get ("d1", summaries, 2));
       break;
     case 3:
-      out = take (mr_wire_batch ("d1", 5, batch, n));
+      out = to_string (mr_wire_batch ("d1", 5, batch, n));
       break;
     case 4:
-      out = partial_bytes ((guint) n % 20);
+      out = encode_partial ((guint) n % 20);
       break;
     case 5:
-      out = take (mr_wire_cancel_batch ("d1", 5, (guint64) n));
+      out = to_string (mr_wire_cancel_batch ("d1", 5, (guint64) n));
       break;
     case 6:
-      out = take (mr_wire_order ("d1", &order));
+      out = to_string (mr_wire_order ("d1", &order));
       break;
     case 7:
-      out = take (mr_wire_range_summaries ("d1", range, news, 2));
+      out = to_string (mr_wire_range_summaries ("d1", range, summaries, 2));
       break;
     case 8:
-      out = take (mr_wire_range_digests ("d1", range, digests));
+      out = to_string (mr_wire_range_digests ("d1", range, digests));
       break;
     case 9:
-      out = take (mr_wire_objects ("d1", objects, 2));
+      out = to_string (mr_wire_objects ("d1", objects, 2));
       break;
     case 10:
-      h.from = member (n);
+      h.from = make_member (n);
       h.is_full_list = TRUE;
       h.updates = updates;
       h.update_count = 3;
-      out = take (mr_wire_heartbeat ("d1", &h));
+      out = to_string (mr_wire_heartbeat ("d1", &h));
       break;
     case 11:
-      out = take (mr_wire_deflate ("d1", mr_wire_announce ("d1", many.data (), MANY)));
+      out = to_string (mr_wire_deflate ("d1", mr_wire_announce ("d1", many.data (), MANY)));
       break;
     default:
-      out = take (mr_wire_order_result ("d1", &result));
+      out = to_string (mr_wire_order_result ("d1", &result));
       break;
     }
   g_string_free (body, TRUE);
   mr_batch_free (batch);
-  mr_shard_map_unref (m);
+  mr_shard_map_unref (map);
   return out;
 }
 
-// Decodes; a message that was taken must keep to the bounds.
+// Returns whether the bytes are accepted; the values of an accepted message must be within limits.
 bool
-decodes (const std::string &bytes)
+is_accepted (const std::string &bytes)
 {
   MrWireMessage m;
   if (mr_wire_decode ({ bytes.data (), bytes.size () }, &m) != MR_OK)
@@ -174,21 +174,21 @@
 int
 main ()
 {
-  bool ok = rc::check ("messages survive their own encoding", [] {
-    int kind = *rc::gen::inRange (0, KINDS);
+  bool ok = rc::check ("encoded messages can be decoded", [] {
+    int kind = *rc::gen::inRange (0, KIND_COUNT);
     int n = *rc::gen::inRange (0, 30000);
-    RC_ASSERT (decodes (any_message (kind, n)));
+    RC_ASSERT (is_accepted (encode_message (kind, n)));
   });
-  ok = rc::check ("a heartbeat keeps its fields",
+  ok = rc::check ("a heartbeat is decoded with the same fields",
                   [] {
                     MrHeartbeat h = {};
-                    MrMember update = member (*rc::gen::inRange (0, 30000));
-                    h.from = member (*rc::gen::inRange (0, 30000));
+                    MrMember update = make_member (*rc::gen::inRange (0, 30000));
+                    h.from = make_member (*rc::gen::inRange (0, 30000));
                     h.kind = MR_HEARTBEAT_ACK;
                     h.registry_digest = *rc::gen::arbitrary<guint64> ();
                     h.updates = &update;
                     h.update_count = 1;
-                    std::string bytes = take (mr_wire_heartbeat ("d9", &h));
+                    std::string bytes = to_string (mr_wire_heartbeat ("d9", &h));
                     MrWireMessage m;
                     RC_ASSERT (mr_wire_decode ({ bytes.data (), bytes.size () }, &m) == MR_OK);
                     RC_ASSERT (m.heartbeat.registry_digest == h.registry_digest);
@@ -197,15 +197,16 @@
                     mr_wire_message_clear (&m);
                   }) &&
        ok;
-  ok = rc::check ("a compressed message is the one that it was made of",
+  ok = rc::check ("a compressed message is decoded to the original",
                   [] {
-                    std::vector<MrObjectSummary> news (*rc::gen::inRange (30, 400));
-                    for (auto &n : news)
+                    std::vector<MrObjectSummary> summaries (*rc::gen::inRange (30, 400));
+                    for (auto &n : summaries)
                       {
                         n.kind = MR_OBJECT_TARGET;
                         n.version = *rc::gen::arbitrary<guint64> ();
                       }
-                    GString *plain = mr_wire_announce ("d1", news.data (), (guint) news.size ());
+                    GString *plain =
+                        mr_wire_announce ("d1", summaries.data (), (guint) summaries.size ());
                     gsize len = plain->len;
                     GString *bytes = mr_wire_deflate ("d1", plain);
                     MrWireMessage m;
@@ -213,39 +214,40 @@
                     RC_ASSERT (bytes->len <= len);
                     RC_ASSERT (mr_wire_decode (mr_text_of (bytes), &m) == MR_OK);
                     RC_ASSERT (m.type == MR_WIRE_ANNOUNCE);
-                    RC_ASSERT (m.summary_count == news.size ());
+                    RC_ASSERT (m.summary_count == summaries.size ());
                     for (guint i = 0; i < m.summary_count; i++)
-                      RC_ASSERT (m.summaries[i].version == news[i].version);
+                      RC_ASSERT (m.summaries[i].version == summaries[i].version);
                     mr_wire_message_clear (&m);
                     g_string_free (bytes, TRUE);
                   }) &&
        ok;
-  ok = rc::check ("cut messages are refused",
+  ok = rc::check ("truncated messages are rejected",
                   [] {
-                    std::string bytes =
-                        any_message (*rc::gen::inRange (0, KINDS), *rc::gen::inRange (0, 30000));
+                    std::string bytes = encode_message (*rc::gen::inRange (0, KIND_COUNT),
+                                                        *rc::gen::inRange (0, 30000));
                     auto len = *rc::gen::inRange<size_t> (0, bytes.size ());
-                    RC_ASSERT (!decodes (bytes.substr (0, len)));
+                    RC_ASSERT (!is_accepted (bytes.substr (0, len)));
                   }) &&
        ok;
-  ok = rc::check ("changed messages do no harm",
+  ok = rc::check ("modified messages are rejected or decoded within limits",
                   [] {
-                    std::string bytes =
-                        any_message (*rc::gen::inRange (0, KINDS), *rc::gen::inRange (0, 30000));
+                    std::string bytes = encode_message (*rc::gen::inRange (0, KIND_COUNT),
+                                                        *rc::gen::inRange (0, 30000));
                     int changes = *rc::gen::inRange (1, 6);
                     for (int i = 0; i < changes; i++)
                       bytes[*rc::gen::inRange<size_t> (0, bytes.size ())] =
                           *rc::gen::arbitrary<char> ();
-                    decodes (bytes);
+                    is_accepted (bytes);
                   }) &&
        ok;
-  // Found by the property below: the library asked for 32 GiB at these.
-  static const char hostile[] = "\xdd\x80\x00\x00\x00";
-  bool taken = decodes (std::string (hostile, 5));
-  std::printf ("a length that no message can meet: %s\n", taken ? "TAKEN" : "refused");
-  ok = ok && !taken;
-  ok = rc::check ("made-up bytes do no harm",
-                  [] { decodes (*rc::gen::arbitrary<std::string> ()); }) &&
+  // Found by the last property: msgpack tried to allocate 32 GiB for these five bytes.
+  static const char huge_array[] = "\xdd\x80\x00\x00\x00";
+  bool accepted = is_accepted (std::string (huge_array, 5));
+  std::printf ("an array length beyond the end of the message: %s\n",
+               accepted ? "ACCEPTED" : "rejected");
+  ok = ok && !accepted;
+  ok = rc::check ("random bytes are rejected or decoded within limits",
+                  [] { is_accepted (*rc::gen::arbitrary<std::string> ()); }) &&
        ok;
   return ok ? 0 : 1;
 }
