--- a/src/loop.c
+++ b/src/loop.c
@@ -7,19 +7,19 @@
 enum
 {
   SPARE_DESCRIPTORS = 16,
-  HEADER_BYTES = 8192,
-  HEADER_POOL_MAX = 4096,
-  /* Longest sleep: bounds the harm of a wake-up that was lost. */
-  IDLE_MAX_MS = 500,
+  HTTP_HEADER_BYTES = 8192,
+  HTTP_HEADER_POOL_MAX = 4096,
+  /* Limits the delay if a wake-up is lost. */
+  MAX_WAIT_MS = 500,
 };
 
 struct _MrLoop
 {
-  MrLoopHandler *host;
+  MrLoopHandler *handler;
   struct lws_context *context;
   gboolean closing;
-  struct lws_vhost *raw_vhost; /* NULL until a stream is made */
-  MrMailbox *box;
+  struct lws_vhost *raw_vhost; /* NULL until the first stream is created */
+  MrMailbox *mailbox;
   lws_sorted_usec_list_t timer;
   atomic_bool stop;
 };
@@ -33,8 +33,8 @@
 
 static void S_tick (MrLoop *loop);
 
-/* libwebsockets runs due timers and then waits for sockets without coming back
- * to us, so the work of a timer is done here and not after the wait. */
+/* libwebsockets runs expired timers and then waits for sockets before lws_service () returns, so
+ * the tick has to run in the timer callback and not after that call. */
 static void
 S_on_timer (lws_sorted_usec_list_t *timer)
 {
@@ -45,8 +45,8 @@
 S_tick (MrLoop *loop)
 {
   MrTime now = mr_now ();
-  MrTime next = loop->host->on_tick (loop->host, now);
-  MrTime wait = CLAMP (next - now, 1, IDLE_MAX_MS * MR_MS);
+  MrTime next = loop->handler->on_tick (loop->handler, now);
+  MrTime wait = CLAMP (next - now, 1, MAX_WAIT_MS * MR_MS);
   lws_sul_schedule (loop->context, 0, &loop->timer, S_on_timer, wait);
 }
 
@@ -59,19 +59,20 @@
 }
 
 MrLoop *
-mr_loop_new (MrLoopHandler *host, guint descriptors)
+mr_loop_new (MrLoopHandler *handler, guint max_descriptors)
 {
   lws_set_log_level (LLL_ERR, S_on_library_log);
   MrLoop *loop = g_new0 (MrLoop, 1);
-  loop->host = host;
+  loop->handler = handler;
   struct lws_context_creation_info info = {
     .port = CONTEXT_PORT_NO_LISTEN,
     .options = LWS_SERVER_OPTION_EXPLICIT_VHOSTS | LWS_SERVER_OPTION_DISABLE_IPV6,
     .timeout_secs = 120,
     .connect_timeout_secs = 120,
-    .fd_limit_per_thread = descriptors + SPARE_DESCRIPTORS,
-    .max_http_header_data = HEADER_BYTES,
-    .max_http_header_pool = (unsigned short) MIN (descriptors + SPARE_DESCRIPTORS, HEADER_POOL_MAX),
+    .fd_limit_per_thread = max_descriptors + SPARE_DESCRIPTORS,
+    .max_http_header_data = HTTP_HEADER_BYTES,
+    .max_http_header_pool =
+        (unsigned short) MIN (max_descriptors + SPARE_DESCRIPTORS, HTTP_HEADER_POOL_MAX),
     .gid = (gid_t) -1,
     .uid = (uid_t) -1,
   };
@@ -79,10 +80,11 @@
   if (!loop->context)
     {
       g_free (loop);
-      mr_fail (MR_ERROR_SYSTEM, "libwebsockets context: out of descriptors or memory");
+      mr_fail (MR_ERROR_SYSTEM,
+               "cannot create the libwebsockets context: out of descriptors or memory");
       return NULL;
     }
-  loop->box = mr_mailbox_new (S_wake, loop);
+  loop->mailbox = mr_mailbox_new (S_wake, loop);
   return loop;
 }
 
@@ -94,7 +96,7 @@
   loop->closing = TRUE;
   lws_sul_schedule (loop->context, 0, &loop->timer, NULL, LWS_SET_TIMER_USEC_CANCEL);
   lws_context_destroy (loop->context);
-  mr_mailbox_free (loop->box);
+  mr_mailbox_free (loop->mailbox);
   g_free (loop);
 }
 
@@ -132,15 +134,15 @@
 MrMailbox *
 mr_loop_mailbox (MrLoop *loop)
 {
-  return loop->box;
+  return loop->mailbox;
 }
 
 void
 mr_loop_step (MrLoop *loop)
 {
-  for (MrMessage *m = mr_mailbox_take (loop->box); m; m = mr_mailbox_take (loop->box))
-    if (loop->host->on_message)
-      loop->host->on_message (loop->host, m);
+  for (MrMessage *m = mr_mailbox_take (loop->mailbox); m; m = mr_mailbox_take (loop->mailbox))
+    if (loop->handler->on_message)
+      loop->handler->on_message (loop->handler, m);
     else
       mr_message_free (m);
   S_tick (loop);
--- a/src/loop.h
+++ b/src/loop.h
@@ -1,8 +1,8 @@
 /* Event loop of one task: a libwebsockets context, a mailbox and one timer.
  *
- * The context is kept small: libwebsockets scans its descriptor table on each
- * call, so a table sized to the task's own sockets costs a fifth of one sized
- * to the process limit (docs/design/transport.md). */
+ * The descriptor table of the context is sized for the sockets of the task: libwebsockets scans
+ * the table on each call, and one sized for the descriptor limit of the process costs five times
+ * as much (docs/design/transport.md). */
 #pragma once
 
 #include "clock.h"
@@ -13,36 +13,35 @@
 typedef struct _MrLoop MrLoop;
 typedef struct _MrLoopHandler MrLoopHandler;
 
-/* Vtable; first member of the task that runs the loop. */
+/* Callbacks; embedded as the first member of the task that runs the loop. */
 struct _MrLoopHandler
 {
-  /* Takes ownership of @message.  NULL: nobody sends it any. */
-  void (*on_message) (MrLoopHandler *host, MrMessage *message);
-  /* Called after each round; returns when it wants to be called again, or
-   * MR_NEVER. */
-  MrTime (*on_tick) (MrLoopHandler *host, MrTime now);
+  /* Takes ownership of @message.  NULL if no messages are expected; any are freed. */
+  void (*on_message) (MrLoopHandler *handler, MrMessage *message);
+  /* Called in each iteration; returns the time of the next call, or MR_NEVER. */
+  MrTime (*on_tick) (MrLoopHandler *handler, MrTime now);
 };
 
-/* @descriptors: most sockets the task will hold at once. */
-MrLoop *mr_loop_new (MrLoopHandler *host, guint descriptors);
+/* @max_descriptors: the highest number of sockets that the task has open at once. */
+MrLoop *mr_loop_new (MrLoopHandler *handler, guint max_descriptors);
 void mr_loop_free (MrLoop *loop);
 struct lws_context *mr_loop_context (MrLoop *loop);
 MrMailbox *mr_loop_mailbox (MrLoop *loop);
 
-/* Where streams (stream.h) live: a vhost whose one protocol is the callback
- * below. */
+/* Vhost of the streams (stream.h); its only protocol calls mr_loop_raw_callback (), which is
+ * implemented in stream.c. */
 #define MR_LOOP_RAW_PROTOCOL "stream"
 struct lws_vhost *mr_loop_raw_vhost (MrLoop *loop);
-/* TRUE inside mr_loop_free (): streams end without telling their hosts. */
+/* TRUE inside mr_loop_free (): streams are then freed without calling their handlers. */
 gboolean mr_loop_is_closing (const MrLoop *loop);
 int mr_loop_raw_callback (
     struct lws *wsi, enum lws_callback_reasons reason, void *session, void *in, size_t len);
 
-/* Runs until mr_loop_stop (); to be called from one thread only. */
+/* Runs until mr_loop_stop () is called.  Only one thread may run a loop. */
 void mr_loop_run (MrLoop *loop);
 
-/* One round, for programs that drive the loop themselves. */
+/* Runs one iteration, for programs that drive the loop themselves. */
 void mr_loop_step (MrLoop *loop);
 
-/* From any thread. */
+/* May be called from any thread. */
 void mr_loop_stop (MrLoop *loop);
--- a/src/mailbox.c
+++ b/src/mailbox.c
@@ -13,39 +13,39 @@
 MrMailbox *
 mr_mailbox_new (void (*wake) (void *user), void *user)
 {
-  MrMailbox *box = g_new0 (MrMailbox, 1);
-  pthread_mutex_init (&box->lock, NULL);
-  g_queue_init (&box->queue);
-  box->wake = wake;
-  box->user = user;
-  return box;
+  MrMailbox *mailbox = g_new0 (MrMailbox, 1);
+  pthread_mutex_init (&mailbox->lock, NULL);
+  g_queue_init (&mailbox->queue);
+  mailbox->wake = wake;
+  mailbox->user = user;
+  return mailbox;
 }
 
 void
-mr_mailbox_free (MrMailbox *box)
+mr_mailbox_free (MrMailbox *mailbox)
 {
-  if (!box)
+  if (!mailbox)
     return;
-  for (MrMessage *m = mr_mailbox_take (box); m; m = mr_mailbox_take (box))
+  for (MrMessage *m = mr_mailbox_take (mailbox); m; m = mr_mailbox_take (mailbox))
     mr_message_free (m);
-  pthread_mutex_destroy (&box->lock);
-  g_free (box);
+  pthread_mutex_destroy (&mailbox->lock);
+  g_free (mailbox);
 }
 
 void
-mr_mailbox_post (MrMailbox *box, MrMessage *message)
+mr_mailbox_post (MrMailbox *mailbox, MrMessage *message)
 {
-  pthread_mutex_lock (&box->lock);
-  g_queue_push_tail (&box->queue, message);
-  pthread_mutex_unlock (&box->lock);
-  box->wake (box->user);
+  pthread_mutex_lock (&mailbox->lock);
+  g_queue_push_tail (&mailbox->queue, message);
+  pthread_mutex_unlock (&mailbox->lock);
+  mailbox->wake (mailbox->user);
 }
 
 MrMessage *
-mr_mailbox_take (MrMailbox *box)
+mr_mailbox_take (MrMailbox *mailbox)
 {
-  pthread_mutex_lock (&box->lock);
-  MrMessage *message = g_queue_pop_head (&box->queue);
-  pthread_mutex_unlock (&box->lock);
+  pthread_mutex_lock (&mailbox->lock);
+  MrMessage *message = g_queue_pop_head (&mailbox->queue);
+  pthread_mutex_unlock (&mailbox->lock);
   return message;
 }
--- a/src/mailbox.h
+++ b/src/mailbox.h
@@ -1,7 +1,7 @@
-/* Queue of messages into one task; any thread posts, only the owner takes.
+/* Queue of messages to one task.  Any thread may post; only the receiving task takes.
  *
- * Ownership of a message passes with it.  A message starts with MrMessage, its
- * vtable, so that the mailbox can free what was never taken. */
+ * Posting transfers the ownership of the message.  Every message starts with MrMessage, whose free
+ * function lets the mailbox free messages that were never taken. */
 #pragma once
 
 #include <glib.h>
@@ -16,13 +16,13 @@
   void (*free) (MrMessage *message);
 };
 
-/* @wake is called after each post, from the posting thread. */
+/* @wake is called after each post, in the posting thread. */
 MrMailbox *mr_mailbox_new (void (*wake) (void *user), void *user);
-void mr_mailbox_free (MrMailbox *box);
-void mr_mailbox_post (MrMailbox *box, MrMessage *message);
+void mr_mailbox_free (MrMailbox *mailbox);
+void mr_mailbox_post (MrMailbox *mailbox, MrMessage *message);
 
-/* Next message, or NULL at once if there is none. */
-MrMessage *mr_mailbox_take (MrMailbox *box);
+/* Returns the next message, or NULL without waiting if there is none. */
+MrMessage *mr_mailbox_take (MrMailbox *mailbox);
 
 static inline void
 mr_message_free (MrMessage *message)
--- a/src/task_message.c
+++ b/src/task_message.c
@@ -1,8 +1,8 @@
 #include "task_message.h"
 
-/* Allocates a message struct of @size with its type and free function set. */
+/* Allocates a zeroed message struct of @size bytes and sets its type and free function. */
 static gpointer
-S_new (gsize size, MrMessageType type, void (*free_message) (MrMessage *message))
+S_message_new (gsize size, MrMessageType type, void (*free_message) (MrMessage *message))
 {
   MrMessage *message = g_malloc0 (size);
   message->type = (int) type;
@@ -18,7 +18,7 @@
 }
 
 static void
-S_free_plain (MrMessage *message)
+S_free_struct (MrMessage *message)
 {
   g_free (message);
 }
@@ -33,7 +33,7 @@
 MrViewMessage *
 mr_view_message_new (MrView *view)
 {
-  MrViewMessage *message = S_new (sizeof *message, MR_MESSAGE_VIEW, S_free_view);
+  MrViewMessage *message = S_message_new (sizeof *message, MR_MESSAGE_VIEW, S_free_view);
   message->view = mr_view_ref (view);
   return message;
 }
@@ -50,7 +50,7 @@
 MrChangesMessage *
 mr_changes_message_new (GPtrArray *targets, GArray *members)
 {
-  MrChangesMessage *message = S_new (sizeof *message, MR_MESSAGE_CHANGES, S_free_changes);
+  MrChangesMessage *message = S_message_new (sizeof *message, MR_MESSAGE_CHANGES, S_free_changes);
   message->targets = targets ? targets : g_ptr_array_new ();
   message->members = members ? members : g_array_new (FALSE, FALSE, sizeof (MrMember));
   return message;
@@ -66,7 +66,7 @@
 MrSubmitMessage *
 mr_submit_message_new (MrBatch *batch, const MrOrigin *origin)
 {
-  MrSubmitMessage *message = S_new (sizeof *message, MR_MESSAGE_SUBMIT, S_free_submit);
+  MrSubmitMessage *message = S_message_new (sizeof *message, MR_MESSAGE_SUBMIT, S_free_submit);
   message->batch = batch;
   message->origin = *origin;
   return message;
@@ -75,7 +75,8 @@
 MrCancelBatchMessage *
 mr_cancel_batch_message_new (const MrOrigin *origin)
 {
-  MrCancelBatchMessage *message = S_new (sizeof *message, MR_MESSAGE_CANCEL_BATCH, S_free_plain);
+  MrCancelBatchMessage *message =
+      S_message_new (sizeof *message, MR_MESSAGE_CANCEL_BATCH, S_free_struct);
   message->origin = *origin;
   return message;
 }
@@ -90,7 +91,7 @@
 MrPartialMessage *
 mr_partial_message_new (MrPartial *partial, const char *from)
 {
-  MrPartialMessage *message = S_new (sizeof *message, MR_MESSAGE_PARTIAL, S_free_partial);
+  MrPartialMessage *message = S_message_new (sizeof *message, MR_MESSAGE_PARTIAL, S_free_partial);
   message->partial = partial;
   g_strlcpy (message->from, from, sizeof message->from);
   return message;
@@ -106,7 +107,7 @@
 MrPeerSendMessage *
 mr_peer_send_message_new (const char *to, GString *bytes)
 {
-  MrPeerSendMessage *message = S_new (sizeof *message, MR_MESSAGE_PEER_SEND, S_free_send);
+  MrPeerSendMessage *message = S_message_new (sizeof *message, MR_MESSAGE_PEER_SEND, S_free_send);
   g_strlcpy (message->to, to, sizeof message->to);
   message->bytes = bytes;
   return message;
@@ -124,7 +125,7 @@
 MrOrderMessage *
 mr_order_message_new (void)
 {
-  return S_new (sizeof (MrOrderMessage), MR_MESSAGE_ORDER, S_free_order);
+  return S_message_new (sizeof (MrOrderMessage), MR_MESSAGE_ORDER, S_free_order);
 }
 
 static void
@@ -137,20 +138,22 @@
 MrOrderResultMessage *
 mr_order_result_message_new (void)
 {
-  return S_new (sizeof (MrOrderResultMessage), MR_MESSAGE_ORDER_RESULT, S_free_order_result);
+  return S_message_new (sizeof (MrOrderResultMessage), MR_MESSAGE_ORDER_RESULT,
+                        S_free_order_result);
 }
 
 MrLocalStateMessage *
 mr_local_state_message_new (MrMemberState state, gboolean busy)
 {
-  MrLocalStateMessage *message = S_new (sizeof *message, MR_MESSAGE_LOCAL_STATE, S_free_plain);
+  MrLocalStateMessage *message =
+      S_message_new (sizeof *message, MR_MESSAGE_LOCAL_STATE, S_free_struct);
   message->state = state;
   message->busy = busy;
   return message;
 }
 
 static void
-S_free_request (MrMessage *message)
+S_free_platform_request (MrMessage *message)
 {
   S_free_string (((MrPlatformRequest *) message)->body);
   g_free (message);
@@ -159,7 +162,8 @@
 MrPlatformRequest *
 mr_platform_request_new (MrPlatformAction action, const char *kind, const char *name)
 {
-  MrPlatformRequest *request = S_new (sizeof *request, MR_MESSAGE_PLATFORM_REQUEST, S_free_request);
+  MrPlatformRequest *request =
+      S_message_new (sizeof *request, MR_MESSAGE_PLATFORM_REQUEST, S_free_platform_request);
   request->action = action;
   g_strlcpy (request->kind, kind, sizeof request->kind);
   g_strlcpy (request->name, name, sizeof request->name);
@@ -167,7 +171,7 @@
 }
 
 static void
-S_free_object (gpointer data)
+S_free_platform_object (gpointer data)
 {
   MrPlatformObject *object = data;
   S_free_string (object->body);
@@ -175,7 +179,7 @@
 }
 
 static void
-S_free_result (MrMessage *message)
+S_free_platform_result (MrMessage *message)
 {
   MrPlatformResult *result = (MrPlatformResult *) message;
   mr_message_free (&result->request->base);
@@ -187,10 +191,11 @@
 MrPlatformResult *
 mr_platform_result_new (MrPlatformRequest *request, int status)
 {
-  MrPlatformResult *result = S_new (sizeof *result, MR_MESSAGE_PLATFORM_RESULT, S_free_result);
+  MrPlatformResult *result =
+      S_message_new (sizeof *result, MR_MESSAGE_PLATFORM_RESULT, S_free_platform_result);
   result->request = request;
   result->status = status;
-  result->objects = g_ptr_array_new_with_free_func (S_free_object);
+  result->objects = g_ptr_array_new_with_free_func (S_free_platform_object);
   result->vms = g_array_new (FALSE, FALSE, sizeof (MrPlatformVm));
   return result;
 }
@@ -215,10 +220,10 @@
 }
 
 MrReportMessage *
-mr_report_message_new (guint64 request, GString *text)
+mr_report_message_new (guint64 request_id, GString *text)
 {
-  MrReportMessage *message = S_new (sizeof *message, MR_MESSAGE_REPORT, S_free_report);
-  message->request_id = request;
+  MrReportMessage *message = S_message_new (sizeof *message, MR_MESSAGE_REPORT, S_free_report);
+  message->request_id = request_id;
   message->text = text;
   return message;
 }
@@ -226,7 +231,7 @@
 MrEvidenceMessage *
 mr_evidence_message_new (MrFingerprint fingerprint, const MrEvidence *evidence)
 {
-  MrEvidenceMessage *message = S_new (sizeof *message, MR_MESSAGE_EVIDENCE, S_free_plain);
+  MrEvidenceMessage *message = S_message_new (sizeof *message, MR_MESSAGE_EVIDENCE, S_free_struct);
   message->fingerprint = fingerprint;
   message->forget = !evidence;
   if (evidence)
@@ -237,5 +242,5 @@
 MrMessage *
 mr_stop_message_new (void)
 {
-  return S_new (sizeof (MrMessage), MR_MESSAGE_STOP, S_free_plain);
+  return S_message_new (sizeof (MrMessage), MR_MESSAGE_STOP, S_free_struct);
 }
--- a/src/task_message.h
+++ b/src/task_message.h
@@ -1,8 +1,11 @@
 /* Typed messages between the tasks of one daemon.
  *
- * Each struct starts with MrMessage; a message's content passes with it to the
- * task that takes it, which moves out what it keeps and frees the rest with
- * mr_message_free (). */
+ * Each struct starts with MrMessage.  The receiving task owns the message and its content: it
+ * moves out what it keeps (and sets it to NULL) and frees the rest with mr_message_free ().
+ *
+ * The entry task serves callers, the target task calls targets, the control task exchanges
+ * messages with other daemons, the platform task calls the platform and the relay task forwards
+ * requests to targets. */
 #pragma once
 
 #include "batch.h"
@@ -31,14 +34,14 @@
   MR_MESSAGE_STOP,
 } MrMessageType;
 
-/* Control to entry and targets. */
+/* Control task to entry and target task: the current view. */
 typedef struct
 {
   MrMessage base;
   MrView *view;
 } MrViewMessage;
 
-/* Control to a relay: what has changed since the message before. */
+/* Control task to relay task: what has changed since the previous message. */
 typedef struct
 {
   MrMessage base;
@@ -46,15 +49,16 @@
   GArray *members;    /* MrMember */
 } MrChangesMessage;
 
-/* Where a batch came from; an empty root is this daemon's own entry task. */
+/* Where a batch came from: its root is the daemon that received the search and merges the partial
+ * results.  An empty root is the entry task of this daemon. */
 typedef struct
 {
   char root[MR_NAME_MAX + 1];
   guint64 incarnation;
-  guint64 batch_id; /* the root's own number */
+  guint64 batch_id; /* assigned by the root */
 } MrOrigin;
 
-/* Entry or control to targets. */
+/* Entry or control task to target task: run a batch. */
 typedef struct
 {
   MrMessage base;
@@ -62,21 +66,22 @@
   MrOrigin origin;
 } MrSubmitMessage;
 
+/* Entry or control task to target task: the result of a batch is no longer needed. */
 typedef struct
 {
   MrMessage base;
   MrOrigin origin;
 } MrCancelBatchMessage;
 
-/* Targets or control to entry. */
+/* Target or control task to entry task: result of a batch. */
 typedef struct
 {
   MrMessage base;
   MrPartial *partial;
-  char from[MR_NAME_MAX + 1]; /* owner; empty: this daemon */
+  char from[MR_NAME_MAX + 1]; /* owner daemon; empty: this daemon */
 } MrPartialMessage;
 
-/* Any task to control: bytes for a peer. */
+/* Any task to control task: an encoded message to send to a peer. */
 typedef struct
 {
   MrMessage base;
@@ -84,7 +89,8 @@
   GString *bytes;
 } MrPeerSendMessage;
 
-/* Control to entry: another daemon's caller presents a ticket of ours. */
+/* Control task to entry task: another daemon has forwarded an order whose ticket was issued by this
+ * daemon. */
 typedef struct
 {
   MrMessage base;
@@ -97,6 +103,7 @@
   GString *body;
 } MrOrderMessage;
 
+/* Control task to entry task: the outcome of an order that this daemon forwarded. */
 typedef struct
 {
   MrMessage base;
@@ -106,7 +113,7 @@
   GString *body;
 } MrOrderResultMessage;
 
-/* Entry to control: what to tell the others of this daemon. */
+/* Entry or relay task to control task: the state of this daemon to announce to its peers. */
 typedef struct
 {
   MrMessage base;
@@ -123,18 +130,18 @@
   MR_PLATFORM_LIST_VMS,
 } MrPlatformAction;
 
-/* Control to platform. */
+/* Control task to platform task. */
 typedef struct
 {
   MrMessage base;
   MrPlatformAction action;
   char kind[24];
   char name[MR_NAME_MAX + 1];
-  guint64 since_revision;           /* of LIST; 0: everything */
-  char after_name[MR_NAME_MAX + 1]; /* of LIST: names that follow this one */
-  guint wait_ms;                    /* of LIST; over 0 makes it a watch */
-  guint watch_call;                 /* of LIST and VMS: its number among those of its watch */
-  guint64 expected_version;         /* of WRITE */
+  guint64 since_revision;           /* of LIST; 0 lists all objects */
+  char after_name[MR_NAME_MAX + 1]; /* of LIST: only names after this one */
+  guint wait_ms;            /* of LIST: how long the call may wait for changes; 0: no watch */
+  guint watch_call;         /* of LIST and LIST_VMS: number of the call within its watch */
+  guint64 expected_version; /* of WRITE */
   GString *body;
 } MrPlatformRequest;
 
@@ -154,31 +161,33 @@
   gboolean leaving;
 } MrPlatformVm;
 
-/* Platform to control. */
+/* Platform task to control task. */
 typedef struct
 {
   MrMessage base;
   MrPlatformRequest *request;
   int status; /* MrStatus */
   guint64 revision;
-  guint64 version;          /* of a write */
-  guint64 removed_version;  /* of LIST: above that of all it names, below any later one */
-  gboolean truncated;       /* of LIST: names follow the last one */
-  gboolean history_expired; /* of LIST: the changes since then are no longer known */
+  guint64 version; /* of WRITE */
+  guint64
+      removed_version; /* of LIST: above the version of every object listed, below any later one */
+  gboolean truncated;  /* of LIST: there are more names after the last one */
+  gboolean history_expired; /* of LIST: the changes since that revision are no longer available */
   GPtrArray *objects;
   GArray *vms; /* MrPlatformVm */
 } MrPlatformResult;
 
-/* Control to those that send requests, and back: targets ended under a content. */
+/* Between the control task and the tasks that call targets, in both directions: evidence that
+ * requests with this content crash targets. */
 typedef struct
 {
   MrMessage base;
   MrFingerprint fingerprint;
   MrEvidence evidence;
-  gboolean forget; /* nothing is to be known of it any more */
+  gboolean forget; /* delete the evidence on this fingerprint */
 } MrEvidenceMessage;
 
-/* Entry to targets and back: text for an operator's request. */
+/* Between entry and target task: text of the answer to an operator's request. */
 typedef struct
 {
   MrMessage base;
@@ -187,7 +196,7 @@
 } MrReportMessage;
 
 MrViewMessage *mr_view_message_new (MrView *view);
-/* Takes both; either may be NULL. */
+/* Takes ownership of both arrays; either may be NULL. */
 MrChangesMessage *mr_changes_message_new (GPtrArray *targets, GArray *members);
 MrSubmitMessage *mr_submit_message_new (MrBatch *batch, const MrOrigin *origin);
 MrCancelBatchMessage *mr_cancel_batch_message_new (const MrOrigin *origin);
@@ -198,11 +207,11 @@
 MrLocalStateMessage *mr_local_state_message_new (MrMemberState state, gboolean busy);
 MrPlatformRequest *
 mr_platform_request_new (MrPlatformAction action, const char *kind, const char *name);
-/* Takes @request. */
+/* Takes ownership of @request. */
 MrPlatformResult *mr_platform_result_new (MrPlatformRequest *request, int status);
 void mr_platform_result_add (
     MrPlatformResult *result, MrText name, guint64 version, gboolean deleted, MrText body);
-MrReportMessage *mr_report_message_new (guint64 request, GString *text);
-/* @evidence NULL: to forget it. */
+MrReportMessage *mr_report_message_new (guint64 request_id, GString *text);
+/* NULL as @evidence deletes the evidence on @fingerprint. */
 MrEvidenceMessage *mr_evidence_message_new (MrFingerprint fingerprint, const MrEvidence *evidence);
 MrMessage *mr_stop_message_new (void);
