--- a/src/peer_link.h
+++ b/src/peer_link.h
@@ -1,11 +1,13 @@
-/* ZeroMQ sockets to other daemons: one bound socket to receive, one connected
- * socket to send for each peer in use.  A question to a peer that is no neighbour, and its
- * answer, share a connection that is closed with the answer: all that start together ask
- * the same few, where an open connection takes 28 kB for each asker and 32 kB for each
- * answer that has one of its own.
+/* ZeroMQ sockets to other daemons: one bound socket that receives, and one connected socket per
+ * peer in use that sends.
  *
- * Messages may be lost; nothing here repeats them.  ZeroMQ's own heartbeats
- * replace a connection that has gone silent. */
+ * A request to a peer that is not a ring neighbour uses a short-lived connection, which carries
+ * the reply too and is closed after it.  When many daemons start at once, all of them send requests
+ * to the same few seeds, where an open connection takes 28 kB per requester, and a separate
+ * connection for the reply 32 kB more.
+ *
+ * Messages may be lost and are not resent here.  ZeroMQ's heartbeats detect a connection that has
+ * gone silent and replace it. */
 #pragma once
 
 #include "clock.h"
@@ -14,37 +16,38 @@
 
 typedef struct _MrPeerLink MrPeerLink;
 
-/* Binds @ip:@port; NULL with a message if that fails. */
+/* Binds to @ip:@port.  NULL with a status message on failure. */
 MrPeerLink *mr_peer_link_new (const char *ip, int port);
 void mr_peer_link_free (MrPeerLink *link);
 
-/* Sends without waiting; FALSE if the message was dropped. */
+/* Sends without blocking; FALSE if the message was dropped. */
 gboolean
 mr_peer_link_send (MrPeerLink *link, MrTime now, const char *ip, int port, const GString *bytes);
 
-/* The same, for a message whose answer is awaited: the answer comes back by this connection,
- * which is then closed, or when it does not come. */
+/* Sends a request.  The reply arrives over the same connection, which is closed after the reply or
+ * after a timeout. */
 gboolean
 mr_peer_link_request (MrPeerLink *link, MrTime now, const char *ip, int port, const GString *bytes);
 
-/* Answers the message that was received last, by the connection that it came by. */
+/* Replies to the last message of the bound socket, over the connection that it arrived on. */
 gboolean mr_peer_link_reply (MrPeerLink *link, const GString *bytes);
 
-/* Closes the sockets to @ip:@port, and drops what waits in it. */
+/* Closes the sending socket to @ip:@port and drops its queued messages.  Pending requests are not
+ * affected. */
 void mr_peer_link_close (MrPeerLink *link, const char *ip, int port);
 
-/* A new process answers at @ip:@port: closes a socket that was opened for the one
- * before, or that still waits for a VM that was off. */
+/* To be called when a new process runs at @ip:@port.  Closes the sending socket if it was opened
+ * for the previous process, or while the VM was off and the socket still waits to reconnect. */
 void mr_peer_link_reconnect (MrPeerLink *link, MrTime now, const char *ip, int port);
 
-/* Closes sockets that were not used for a while. */
+/* Closes idle sending sockets, and requests whose reply is overdue. */
 void mr_peer_link_close_idle (MrPeerLink *link, MrTime now);
 
-/* Waits for a message or for @wake_fd, at most @wait. */
-void mr_peer_link_wait (MrPeerLink *link, int wake_fd, MrTime wait);
+/* Waits until a message arrives, @wake_fd is readable or @timeout has passed. */
+void mr_peer_link_wait (MrPeerLink *link, int wake_fd, MrTime timeout);
 
-/* Next message, or NULL at once; freed by the caller. */
+/* Returns the next message, or NULL without waiting if there is none.  The caller frees it. */
 GString *mr_peer_link_receive (MrPeerLink *link);
 
-/* Sockets that are connected to peers. */
+/* Number of connected sockets, those of pending requests included. */
 guint mr_peer_link_socket_count (const MrPeerLink *link);
--- a/test/test_peer_link.c
+++ b/test/test_peer_link.c
@@ -1,4 +1,4 @@
-/* Connections between daemons, on loopback. */
+/* Tests of the ZeroMQ connections between daemons, on the loopback interface. */
 
 #include "peer_link.h"
 
@@ -12,100 +12,102 @@
 
 enum
 {
-  ASKERS = 60,
+  REQUESTERS = 60,
   FIRST_PORT = 27310,
 };
 
 static const char ip[] = "127.0.0.1";
-static const MrTime LONGEST = 10 * MR_SECOND;
+static const MrTime TIMEOUT = 10 * MR_SECOND;
 
 typedef struct
 {
   MrPeerLink *seed;
-  MrPeerLink *askers[ASKERS];
-  guint asked;
-  guint answered;
+  MrPeerLink *requesters[REQUESTERS];
+  guint requests_received;
+  guint replies_received;
   int wake_fd;
-} Site;
+} Peers;
 
 static void
-S_step (Site *site)
+S_run_once (Peers *peers)
 {
-  mr_peer_link_wait (site->seed, site->wake_fd, 5 * MR_MS);
-  for (GString *in = mr_peer_link_receive (site->seed); in; in = mr_peer_link_receive (site->seed))
+  mr_peer_link_wait (peers->seed, peers->wake_fd, 5 * MR_MS);
+  for (GString *request_text = mr_peer_link_receive (peers->seed); request_text;
+       request_text = mr_peer_link_receive (peers->seed))
     {
-      site->asked++;
-      g_string_append (in, ", answered");
-      assert_true (mr_peer_link_reply (site->seed, in));
-      g_string_free (in, TRUE);
+      peers->requests_received++;
+      g_string_append (request_text, ", answered");
+      assert_true (mr_peer_link_reply (peers->seed, request_text));
+      g_string_free (request_text, TRUE);
     }
-  for (guint i = 0; i < ASKERS; i++)
+  for (guint i = 0; i < REQUESTERS; i++)
     {
-      g_autofree char *expected = g_strdup_printf ("question %u, answered", i);
-      g_autoptr (GString) answer = mr_peer_link_receive (site->askers[i]);
-      if (!answer)
+      g_autofree char *expected = g_strdup_printf ("request %u, answered", i);
+      g_autoptr (GString) reply = mr_peer_link_receive (peers->requesters[i]);
+      if (!reply)
         continue;
-      assert_string_equal (answer->str, expected);
-      site->answered++;
+      assert_string_equal (reply->str, expected);
+      peers->replies_received++;
     }
 }
 
-/* Where a fleet starts, all ask its few seeds.  With a socket for each asker, kept for a
- * minute, a seed of 985 stood at 92 MB, and a small VM of 1,970 would have been killed. */
+/* When all daemons start at once, all of them send requests to the same few seeds.  A socket per
+ * requester that was kept open for a minute made a seed of 985 daemons use 92 MB; with 1,970
+ * daemons a small VM would run out of memory. */
 static void
-test_questions (void **state)
+test_requests (void **state)
 {
-  Site site = { .wake_fd = eventfd (0, EFD_NONBLOCK) };
+  Peers peers = { .wake_fd = eventfd (0, EFD_NONBLOCK) };
   (void) state;
-  site.seed = mr_peer_link_new (ip, FIRST_PORT);
-  assert_non_null (site.seed);
-  for (guint i = 0; i < ASKERS; i++)
+  peers.seed = mr_peer_link_new (ip, FIRST_PORT);
+  assert_non_null (peers.seed);
+  for (guint i = 0; i < REQUESTERS; i++)
     {
-      site.askers[i] = mr_peer_link_new (ip, FIRST_PORT + 1 + (int) i);
-      assert_non_null (site.askers[i]);
-      g_autoptr (GString) question = g_string_new (NULL);
-      g_string_printf (question, "question %u", i);
-      assert_true (mr_peer_link_request (site.askers[i], mr_now (), ip, FIRST_PORT, question));
-      assert_int_equal (mr_peer_link_socket_count (site.askers[i]), 1);
+      peers.requesters[i] = mr_peer_link_new (ip, FIRST_PORT + 1 + (int) i);
+      assert_non_null (peers.requesters[i]);
+      g_autoptr (GString) request = g_string_new (NULL);
+      g_string_printf (request, "request %u", i);
+      assert_true (mr_peer_link_request (peers.requesters[i], mr_now (), ip, FIRST_PORT, request));
+      assert_int_equal (mr_peer_link_socket_count (peers.requesters[i]), 1);
     }
-  MrTime end = mr_now () + LONGEST;
-  while (site.answered < ASKERS && mr_now () < end)
-    S_step (&site);
-  assert_int_equal (site.asked, ASKERS);
-  assert_int_equal (site.answered, ASKERS);
-  assert_int_equal (mr_peer_link_socket_count (site.seed), 0);
-  for (guint i = 0; i < ASKERS; i++)
+  MrTime end = mr_now () + TIMEOUT;
+  while (peers.replies_received < REQUESTERS && mr_now () < end)
+    S_run_once (&peers);
+  assert_int_equal (peers.requests_received, REQUESTERS);
+  assert_int_equal (peers.replies_received, REQUESTERS);
+  assert_int_equal (mr_peer_link_socket_count (peers.seed), 0);
+  for (guint i = 0; i < REQUESTERS; i++)
     {
-      assert_int_equal (mr_peer_link_socket_count (site.askers[i]), 0);
-      mr_peer_link_free (site.askers[i]);
+      assert_int_equal (mr_peer_link_socket_count (peers.requesters[i]), 0);
+      mr_peer_link_free (peers.requesters[i]);
     }
-  mr_peer_link_free (site.seed);
-  close (site.wake_fd);
+  mr_peer_link_free (peers.seed);
+  close (peers.wake_fd);
 }
 
-/* A seed that is down must not keep the sockets of those that ask it. */
+/* The sockets of requests to a seed that is down must be closed. */
 static void
-test_no_answer (void **state)
+test_no_reply (void **state)
 {
   (void) state;
-  MrPeerLink *asker = mr_peer_link_new (ip, FIRST_PORT);
-  g_autoptr (GString) question = g_string_new ("question");
+  MrPeerLink *requester = mr_peer_link_new (ip, FIRST_PORT);
+  g_autoptr (GString) request = g_string_new ("request");
   MrTime now = MR_SECOND;
-  assert_non_null (asker);
-  assert_true (mr_peer_link_request (asker, now, ip, FIRST_PORT + 1, question));
-  assert_true (mr_peer_link_request (asker, now + MR_SECOND, ip, FIRST_PORT + 1, question));
-  assert_int_equal (mr_peer_link_socket_count (asker), 1);
-  mr_peer_link_close_idle (asker, now + 4 * MR_SECOND);
-  assert_int_equal (mr_peer_link_socket_count (asker), 0);
-  mr_peer_link_free (asker);
+  assert_non_null (requester);
+  assert_true (mr_peer_link_request (requester, now, ip, FIRST_PORT + 1, request));
+  assert_true (mr_peer_link_request (requester, now + MR_SECOND, ip, FIRST_PORT + 1, request));
+  assert_int_equal (mr_peer_link_socket_count (requester), 1);
+  mr_peer_link_close_idle (requester, now + 4 * MR_SECOND);
+  assert_int_equal (mr_peer_link_socket_count (requester), 0);
+  mr_peer_link_free (requester);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_questions),
-    cmocka_unit_test (test_no_answer),
+    cmocka_unit_test (test_requests),
+    cmocka_unit_test (test_no_reply),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
