--- a/src/http_message.c
+++ b/src/http_message.c
@@ -4,18 +4,18 @@
 
 enum
 {
-  /* A head without a limit of its own still ends somewhere. */
-  HEAD_MAX = 80 * 1024,
+  /* Applies if the caller sets no limit for heads. */
+  DEFAULT_MAX_HEAD_BYTES = 80 * 1024,
 };
 
-/* Places in `head`. */
+/* Offsets into `head`. */
 typedef struct
 {
   gsize name;
   gsize name_len;
   gsize value;
   gsize value_len;
-} Field;
+} FieldRange;
 
 struct _MrHttpParser
 {
@@ -24,8 +24,8 @@
   MrHttpState state;
   MrHttpLimits limits;
   gboolean bodiless;
-  GString *head;  /* raw, up to the empty line */
-  GArray *fields; /* Field */
+  GString *head;  /* raw bytes up to and including the empty line */
+  GArray *fields; /* FieldRange */
   gsize target;
   gsize target_len;
   GString *body;
@@ -37,8 +37,8 @@
   return a.len == strlen (b) && g_ascii_strncasecmp (a.data, b, a.len) == 0;
 }
 
-/* Callbacks of http-parser.  The head is parsed out of `head` in one piece, so
- * each value comes whole and its place is its offset there. */
+/* Callbacks of http-parser.  The head is parsed from `head` in one call, so that each callback
+ * receives a complete value, which is stored as its offset in `head`. */
 
 static int
 S_on_url (http_parser *parser, const char *at, size_t len)
@@ -50,23 +50,23 @@
 }
 
 static int
-S_on_field (http_parser *parser, const char *at, size_t len)
+S_on_field_name (http_parser *parser, const char *at, size_t len)
 {
   MrHttpParser *p = parser->data;
   if (p->state != MR_HTTP_HEAD)
-    return 0; /* a trailer */
-  Field field = { .name = (gsize) (at - p->head->str), .name_len = len };
+    return 0; /* a trailer field */
+  FieldRange field = { .name = (gsize) (at - p->head->str), .name_len = len };
   g_array_append_val (p->fields, field);
   return 0;
 }
 
 static int
-S_on_value (http_parser *parser, const char *at, size_t len)
+S_on_field_value (http_parser *parser, const char *at, size_t len)
 {
   MrHttpParser *p = parser->data;
   if (p->state != MR_HTTP_HEAD || p->fields->len == 0)
     return 0;
-  Field *field = &g_array_index (p->fields, Field, p->fields->len - 1);
+  FieldRange *field = &g_array_index (p->fields, FieldRange, p->fields->len - 1);
   while (len > 0 && g_ascii_isspace (at[len - 1]))
     len--;
   field->value = (gsize) (at - p->head->str);
@@ -75,7 +75,7 @@
 }
 
 static int
-S_on_head_done (http_parser *parser)
+S_on_headers_complete (http_parser *parser)
 {
   const MrHttpParser *p = parser->data;
   const int no_body = 1;
@@ -96,7 +96,7 @@
 }
 
 static int
-S_on_done (http_parser *parser)
+S_on_message_complete (http_parser *parser)
 {
   MrHttpParser *p = parser->data;
   p->state = MR_HTTP_DONE;
@@ -106,11 +106,11 @@
 
 static const http_parser_settings callbacks = {
   .on_url = S_on_url,
-  .on_header_field = S_on_field,
-  .on_header_value = S_on_value,
-  .on_headers_complete = S_on_head_done,
+  .on_header_field = S_on_field_name,
+  .on_header_value = S_on_field_value,
+  .on_headers_complete = S_on_headers_complete,
   .on_body = S_on_body,
-  .on_message_complete = S_on_done,
+  .on_message_complete = S_on_message_complete,
 };
 
 MrHttpParser *
@@ -120,7 +120,7 @@
   p->kind = kind;
   p->head = g_string_new (NULL);
   p->body = g_string_new (NULL);
-  p->fields = g_array_new (FALSE, FALSE, sizeof (Field));
+  p->fields = g_array_new (FALSE, FALSE, sizeof (FieldRange));
   mr_http_parser_reset (p);
   return p;
 }
@@ -162,29 +162,27 @@
   g_array_set_size (p->fields, 0);
 }
 
-/* The head. */
-
-/* Appends bytes up to the end of the head; FALSE on a byte that no head holds.
- * A line feed without its carriage return ends a line for some readers only:
- * what one takes for a header another takes for the start of a request. */
+/* Appends bytes to the head up to its end; FALSE on a byte that is not allowed in a head.  Only
+ * some implementations accept a line feed without a carriage return as the end of a line, so that
+ * what one reads as a header field, another reads as the start of a request. */
 static gboolean
-S_take_head (MrHttpParser *p, MrText bytes, gsize *taken, gboolean *whole)
+S_append_head (MrHttpParser *p, MrText bytes, gsize *consumed, gboolean *complete)
 {
   GString *head = p->head;
-  for (*taken = 0; *taken < bytes.len && !*whole;)
+  for (*consumed = 0; *consumed < bytes.len && !*complete;)
     {
-      char c = bytes.data[(*taken)++];
-      gboolean after_return = head->len > 0 && head->str[head->len - 1] == '\r';
-      if (c == '\0' || (c == '\n') != after_return)
+      char c = bytes.data[(*consumed)++];
+      gboolean after_cr = head->len > 0 && head->str[head->len - 1] == '\r';
+      if (c == '\0' || (c == '\n') != after_cr)
         return FALSE;
       g_string_append_c (head, c);
-      *whole =
+      *complete =
           c == '\n' && (head->len == 2 || (head->len >= 4 && head->str[head->len - 3] == '\n'));
-      if (head->len == 2 && *whole)
+      if (head->len == 2 && *complete)
         {
-          /* An empty line before a message is passed over. */
+          /* Skips an empty line before the message. */
           g_string_truncate (head, 0);
-          *whole = FALSE;
+          *complete = FALSE;
         }
     }
   return TRUE;
@@ -196,10 +194,10 @@
   return strstr (head->str, "\n ") != NULL || strstr (head->str, "\n\t") != NULL;
 }
 
-/* http-parser takes "Content-Length : 5" for a field of another name, which
- * others may read as the length. */
+/* http-parser reads "Content-Length : 5" as a field with a different name, while other
+ * implementations may read it as the length. */
 static gboolean
-S_names_are_plain (const MrHttpParser *p)
+S_field_names_are_valid (const MrHttpParser *p)
 {
   for (guint i = 0; i < p->fields->len; i++)
     {
@@ -219,31 +217,33 @@
   return text.len > 0;
 }
 
-/* Exactly one reading of where the body ends. */
+/* TRUE if the head determines the end of the body in exactly one way. */
 static gboolean
-S_framing_is_plain (const MrHttpParser *p)
-{
-  guint lengths = 0;
-  guint codings = 0;
-  MrText length = mr_http_parser_find_field (p, "Content-Length", &lengths);
-  MrText coding = mr_http_parser_find_field (p, "Transfer-Encoding", &codings);
-  if (!S_names_are_plain (p) || lengths > 1 || codings > 1 || (lengths > 0 && codings > 0))
+S_framing_is_unambiguous (const MrHttpParser *p)
+{
+  guint length_count = 0;
+  guint coding_count = 0;
+  MrText length = mr_http_parser_find_field (p, "Content-Length", &length_count);
+  MrText coding = mr_http_parser_find_field (p, "Transfer-Encoding", &coding_count);
+  if (!S_field_names_are_valid (p) || length_count > 1 || coding_count > 1 ||
+      (length_count > 0 && coding_count > 0))
     return FALSE;
-  if (lengths == 1 && !S_all_digits (length))
+  if (length_count == 1 && !S_all_digits (length))
     return FALSE;
-  return codings == 0 || mr_text_equal_nocase (coding, "chunked");
+  return coding_count == 0 || mr_text_equal_nocase (coding, "chunked");
 }
 
 static gboolean
-S_request_is_plain (const MrHttpParser *p)
+S_request_is_acceptable (const MrHttpParser *p)
 {
-  guint hosts = 0;
-  mr_http_parser_find_field (p, "Host", &hosts);
+  guint host_count = 0;
+  mr_http_parser_find_field (p, "Host", &host_count);
   MrText target = mr_http_parser_target (p);
-  return hosts == 1 && target.len > 0 && target.data[0] == '/' && p->parser.method != HTTP_CONNECT;
+  return host_count == 1 && target.len > 0 && target.data[0] == '/' &&
+         p->parser.method != HTTP_CONNECT;
 }
 
-/* Parses the whole head that stands in `head`. */
+/* Parses the complete head in `head`. */
 static void
 S_parse_head (MrHttpParser *p)
 {
@@ -253,10 +253,10 @@
       p->state = MR_HTTP_MALFORMED;
       return;
     }
-  gsize used = http_parser_execute (&p->parser, &callbacks, p->head->str, p->head->len);
+  gsize consumed = http_parser_execute (&p->parser, &callbacks, p->head->str, p->head->len);
   enum http_errno error = HTTP_PARSER_ERRNO (&p->parser);
-  if ((error != HPE_OK && error != HPE_PAUSED) || used < p->head->len - 1 ||
-      !S_framing_is_plain (p) || (p->kind == MR_HTTP_REQUEST && !S_request_is_plain (p)))
+  if ((error != HPE_OK && error != HPE_PAUSED) || consumed < p->head->len - 1 ||
+      !S_framing_is_unambiguous (p) || (p->kind == MR_HTTP_REQUEST && !S_request_is_acceptable (p)))
     {
       p->state = MR_HTTP_MALFORMED;
       return;
@@ -268,7 +268,7 @@
     p->state = MR_HTTP_BODY;
 }
 
-/* An interim response (1xx) comes before the one that counts. */
+/* Interim responses (1xx) precede the final one and are skipped. */
 static gboolean
 S_is_interim (const MrHttpParser *p)
 {
@@ -278,15 +278,16 @@
 static gsize
 S_feed_head (MrHttpParser *p, MrText bytes)
 {
-  gsize taken = 0;
-  gboolean whole = FALSE;
-  gsize most = p->limits.max_head_bytes > 0 ? p->limits.max_head_bytes : HEAD_MAX;
+  gsize consumed = 0;
+  gboolean complete = FALSE;
+  gsize max_bytes =
+      p->limits.max_head_bytes > 0 ? p->limits.max_head_bytes : DEFAULT_MAX_HEAD_BYTES;
   p->state = MR_HTTP_HEAD;
-  if (!S_take_head (p, bytes, &taken, &whole))
+  if (!S_append_head (p, bytes, &consumed, &complete))
     p->state = MR_HTTP_MALFORMED;
-  else if (p->head->len > most)
+  else if (p->head->len > max_bytes)
     p->state = MR_HTTP_HEAD_TOO_LARGE;
-  else if (whole)
+  else if (complete)
     S_parse_head (p);
   else if (p->head->len == 0)
     p->state = MR_HTTP_IDLE;
@@ -296,35 +297,35 @@
       mr_http_parser_reset (p);
       p->bodiless = bodiless;
     }
-  return taken;
+  return consumed;
 }
 
 static gsize
 S_feed_body (MrHttpParser *p, MrText bytes)
 {
-  gsize used = http_parser_execute (&p->parser, &callbacks, bytes.data, bytes.len);
+  gsize consumed = http_parser_execute (&p->parser, &callbacks, bytes.data, bytes.len);
   enum http_errno error = HTTP_PARSER_ERRNO (&p->parser);
   if (p->state == MR_HTTP_BODY && error != HPE_OK)
     p->state = MR_HTTP_MALFORMED;
-  return used;
+  return consumed;
 }
 
 gsize
 mr_http_parser_feed (MrHttpParser *p, MrText bytes)
 {
-  gsize used = 0;
-  while (used < bytes.len && p->state < MR_HTTP_DONE)
+  gsize consumed = 0;
+  while (consumed < bytes.len && p->state < MR_HTTP_DONE)
     {
-      MrText rest = { .data = bytes.data + used, .len = bytes.len - used };
-      used += p->state == MR_HTTP_BODY ? S_feed_body (p, rest) : S_feed_head (p, rest);
+      MrText rest = { .data = bytes.data + consumed, .len = bytes.len - consumed };
+      consumed += p->state == MR_HTTP_BODY ? S_feed_body (p, rest) : S_feed_head (p, rest);
     }
-  return used;
+  return consumed;
 }
 
 void
 mr_http_parser_finish (MrHttpParser *p)
 {
-  /* No bytes at all tell http-parser that the connection has ended. */
+  /* Zero bytes tell http-parser that the connection has ended. */
   if (p->state == MR_HTTP_BODY)
     http_parser_execute (&p->parser, &callbacks, NULL, 0);
 }
@@ -368,7 +369,7 @@
 MrHttpField
 mr_http_parser_field (const MrHttpParser *p, guint index)
 {
-  const Field *field = &g_array_index (p->fields, Field, index);
+  const FieldRange *field = &g_array_index (p->fields, FieldRange, index);
   return (MrHttpField){
     .name = { .data = p->head->str + field->name, .len = field->name_len },
     .value = { .data = p->head->str + field->value, .len = field->value_len },
@@ -406,13 +407,13 @@
 }
 
 static gboolean
-S_list_has (MrText list, MrText name)
+S_list_contains (MrText list, MrText name)
 {
   g_autofree char *copy = mr_text_dup (list);
-  g_auto (GStrv) words = g_strsplit (copy, ",", -1);
-  for (char **word = words; *word; word++)
+  g_auto (GStrv) tokens = g_strsplit (copy, ",", -1);
+  for (char **token = tokens; *token; token++)
     {
-      MrText stripped = mr_text (g_strstrip (*word));
+      MrText stripped = mr_text (g_strstrip (*token));
       if (stripped.len == name.len && g_ascii_strncasecmp (stripped.data, name.data, name.len) == 0)
         return TRUE;
     }
@@ -422,7 +423,7 @@
 gboolean
 mr_http_parser_is_hop_by_hop (const MrHttpParser *p, MrText name)
 {
-  static const char *const names[] = {
+  static const char *const hop_by_hop_fields[] = {
     "Connection",
     "Keep-Alive",
     "Proxy-Connection",
@@ -435,12 +436,12 @@
     "Proxy-Authenticate",
     "Proxy-Authorization",
   };
-  for (gsize i = 0; i < G_N_ELEMENTS (names); i++)
-    if (mr_text_equal_nocase (name, names[i]))
+  for (gsize i = 0; i < G_N_ELEMENTS (hop_by_hop_fields); i++)
+    if (mr_text_equal_nocase (name, hop_by_hop_fields[i]))
       return TRUE;
   MrText connection = mr_http_parser_find_field (p, "Connection", NULL);
   if (connection.len == 0 || mr_text_equal_nocase (connection, "keep-alive") ||
       mr_text_equal_nocase (connection, "close"))
     return FALSE;
-  return S_list_has (connection, name);
+  return S_list_contains (connection, name);
 }
--- a/src/http_message.h
+++ b/src/http_message.h
@@ -1,10 +1,10 @@
-/* HTTP/1.1 messages from bytes, by http-parser, with the framing checks that
- * keep one message from hiding in another.
+/* Parser for HTTP/1.1 messages on top of http-parser, with strict framing checks against request
+ * smuggling.
  *
- * A parser reads one message at a time and stops exactly at its end, so that
- * bytes behind it are seen as what they are.  Heads are refused that two
- * readers could frame differently: bare line feeds, folded lines, two lengths,
- * a length beside chunks. */
+ * A parser reads one message at a time and stops exactly at its end, so that the bytes after it are
+ * not mistaken for a part of it.  A head that two implementations could frame differently is
+ * rejected: bare line feeds, folded lines, more than one length, a length together with a transfer
+ * coding. */
 #pragma once
 
 #include "text.h"
@@ -19,16 +19,16 @@
 
 typedef enum
 {
-  MR_HTTP_IDLE,           /* no byte of a message yet */
-  MR_HTTP_HEAD,           /* in the head */
-  MR_HTTP_BODY,           /* head known, body not whole */
-  MR_HTTP_DONE,           /* a whole message */
-  MR_HTTP_MALFORMED,      /* not HTTP, or ambiguous */
-  MR_HTTP_HEAD_TOO_LARGE, /* over the limit for heads */
+  MR_HTTP_IDLE,           /* no byte of a message received */
+  MR_HTTP_HEAD,           /* head not complete */
+  MR_HTTP_BODY,           /* head complete, body not */
+  MR_HTTP_DONE,           /* message complete */
+  MR_HTTP_MALFORMED,      /* not HTTP, or framing ambiguous */
+  MR_HTTP_HEAD_TOO_LARGE, /* head over the limit */
   MR_HTTP_BODY_TOO_LARGE,
 } MrHttpState;
 
-/* Bytes; 0 means no limit. */
+/* 0 means no limit for a body, and 80 KiB for a head. */
 typedef struct
 {
   gsize max_head_bytes;
@@ -45,23 +45,23 @@
 void mr_http_parser_free (MrHttpParser *parser);
 void mr_http_parser_set_limits (MrHttpParser *parser, MrHttpLimits limits);
 
-/* Forgets the message; the next byte starts another. */
+/* Discards the current message; the next byte starts a new one. */
 void mr_http_parser_reset (MrHttpParser *parser);
 
-/* The next response answers HEAD: it has no body whatever its head says. */
+/* The next response answers a HEAD request: it has no body, even if its head announces one. */
 void mr_http_parser_set_bodiless (MrHttpParser *parser, gboolean bodiless);
 
-/* Returns how many bytes belong to the message; fewer than all only at its end
- * or at an error. */
+/* Returns how many of @bytes were consumed; fewer than all only at the end of the message or on an
+ * error. */
 gsize mr_http_parser_feed (MrHttpParser *parser, MrText bytes);
 
-/* The peer ended the connection in order: completes a body that runs to the
- * end of its connection, and nothing else. */
+/* To be called when the peer has closed the connection in order.  Completes a body that is
+ * delimited by the end of the connection; any other incomplete body is malformed. */
 void mr_http_parser_finish (MrHttpParser *parser);
 
 MrHttpState mr_http_parser_state (const MrHttpParser *parser);
 
-/* Of a message whose head is known; texts are borrowed until the reset. */
+/* Valid once the head is complete; texts are borrowed until the next reset. */
 MrText mr_http_parser_method (const MrHttpParser *parser);
 MrText mr_http_parser_target (const MrHttpParser *parser);
 int mr_http_parser_status (const MrHttpParser *parser);
@@ -69,16 +69,18 @@
 guint mr_http_parser_field_count (const MrHttpParser *parser);
 MrHttpField mr_http_parser_field (const MrHttpParser *parser, guint index);
 
-/* First field of that name; @count, which may be NULL, gets how many there are. */
+/* Value of the first field @name; empty if there is none.  @count, which may be NULL, receives the
+ * number of such fields. */
 MrText mr_http_parser_find_field (const MrHttpParser *parser, const char *name, guint *count);
 
-/* FALSE if the connection ends with this message. */
+/* FALSE if the connection is closed after this message. */
 gboolean mr_http_parser_keep_alive (const MrHttpParser *parser);
+/* TRUE if the sender waits for "100 Continue" before it sends the body. */
 gboolean mr_http_parser_expects_continue (const MrHttpParser *parser);
 
-/* TRUE for fields that concern one connection or the framing only, and are not
- * passed on; those that the message's own Connection field names are among
- * them. */
+/* TRUE for hop-by-hop fields, which a proxy does not forward: fields that concern only one
+ * connection or the framing, and those listed in the Connection field of the message. */
 gboolean mr_http_parser_is_hop_by_hop (const MrHttpParser *parser, MrText name);
 
+/* Compares without regard to ASCII case. */
 gboolean mr_text_equal_nocase (MrText a, const char *b);
--- a/test/test_http_message.c
+++ b/test/test_http_message.c
@@ -1,5 +1,5 @@
-/* Framing of HTTP messages: what is read as one message, and what is refused
- * because two readers could take it for different ones. */
+/* Tests of the HTTP parser: where a message ends, and which heads are rejected because two
+ * implementations could frame them differently (request smuggling). */
 
 #include "http_message.h"
 
@@ -16,7 +16,7 @@
   const char *bytes;
   MrHttpState state;
   const char *body;
-  const char *rest; /* bytes that belong to no message */
+  const char *unconsumed; /* input that must not be consumed; NULL: not checked */
 } Case;
 
 #define GET "GET /a HTTP/1.1\r\nHost: h\r\n"
@@ -30,14 +30,15 @@
   { "chunks", MR_HTTP_REQUEST,
     POST "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n", MR_HTTP_DONE, "abc",
     "" },
-  { "a second request behind the first", MR_HTTP_REQUEST, GET "\r\n" GET "\r\n", MR_HTTP_DONE, "",
+  { "a second request after the first", MR_HTTP_REQUEST, GET "\r\n" GET "\r\n", MR_HTTP_DONE, "",
     GET "\r\n" },
-  { "behind chunks", MR_HTTP_REQUEST, POST "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET",
-    MR_HTTP_DONE, "", "GET" },
-  { "an empty line before it", MR_HTTP_REQUEST, "\r\n" GET "\r\n", MR_HTTP_DONE, "", "" },
-  { "half a head", MR_HTTP_REQUEST, GET, MR_HTTP_HEAD, "", "" },
-  { "half a body", MR_HTTP_REQUEST, POST "Content-Length: 3\r\n\r\nab", MR_HTTP_BODY, "ab", "" },
-  { "length and chunks", MR_HTTP_REQUEST,
+  { "bytes after the chunks", MR_HTTP_REQUEST,
+    POST "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET", MR_HTTP_DONE, "", "GET" },
+  { "an empty line before the request", MR_HTTP_REQUEST, "\r\n" GET "\r\n", MR_HTTP_DONE, "", "" },
+  { "incomplete head", MR_HTTP_REQUEST, GET, MR_HTTP_HEAD, "", "" },
+  { "incomplete body", MR_HTTP_REQUEST, POST "Content-Length: 3\r\n\r\nab", MR_HTTP_BODY, "ab",
+    "" },
+  { "length and chunked coding", MR_HTTP_REQUEST,
     POST "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", MR_HTTP_MALFORMED, "",
     NULL },
   { "two lengths", MR_HTTP_REQUEST, POST "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
@@ -52,10 +53,10 @@
     MR_HTTP_MALFORMED, "", NULL },
   { "unknown coding", MR_HTTP_REQUEST, POST "Transfer-Encoding: gzip\r\n\r\nabc", MR_HTTP_MALFORMED,
     "", NULL },
-  { "chunked is not last", MR_HTTP_REQUEST,
+  { "chunked is not the last coding", MR_HTTP_REQUEST,
     POST "Transfer-Encoding: chunked, identity\r\n\r\n0\r\n\r\n", MR_HTTP_MALFORMED, "", NULL },
-  { "odd chunk size", MR_HTTP_REQUEST, POST "Transfer-Encoding: chunked\r\n\r\n0x2\r\nab\r\n",
-    MR_HTTP_MALFORMED, "", NULL },
+  { "chunk size with a prefix", MR_HTTP_REQUEST,
+    POST "Transfer-Encoding: chunked\r\n\r\n0x2\r\nab\r\n", MR_HTTP_MALFORMED, "", NULL },
   { "chunk longer than its size", MR_HTTP_REQUEST,
     POST "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", MR_HTTP_MALFORMED, "", NULL },
   { "bare line feed ends a line", MR_HTTP_REQUEST, "GET /a HTTP/1.1\nHost: h\r\n\r\n",
@@ -68,9 +69,9 @@
   { "no host", MR_HTTP_REQUEST, "GET /a HTTP/1.1\r\n\r\n", MR_HTTP_MALFORMED, "", NULL },
   { "two hosts", MR_HTTP_REQUEST, GET "Host: i\r\n\r\n", MR_HTTP_MALFORMED, "", NULL },
   { "no path", MR_HTTP_REQUEST, "GET a HTTP/1.1\r\nHost: h\r\n\r\n", MR_HTTP_MALFORMED, "", NULL },
-  { "tunnel", MR_HTTP_REQUEST, "CONNECT h:80 HTTP/1.1\r\nHost: h\r\n\r\n", MR_HTTP_MALFORMED, "",
-    NULL },
-  { "no HTTP", MR_HTTP_REQUEST, "\x16\x03\x01\x02\r\n\r\n", MR_HTTP_MALFORMED, "", NULL },
+  { "CONNECT method", MR_HTTP_REQUEST, "CONNECT h:80 HTTP/1.1\r\nHost: h\r\n\r\n",
+    MR_HTTP_MALFORMED, "", NULL },
+  { "not HTTP", MR_HTTP_REQUEST, "\x16\x03\x01\x02\r\n\r\n", MR_HTTP_MALFORMED, "", NULL },
   { "head over the limit", MR_HTTP_REQUEST,
     GET "A: 0123456789012345678901234567890123456789012345678901234567890123456789\r\n\r\n",
     MR_HTTP_HEAD_TOO_LARGE, "", NULL },
@@ -80,34 +81,36 @@
     POST "Transfer-Encoding: chunked\r\n\r\n10\r\n0123456789abcdef\r\n1\r\nx\r\n",
     MR_HTTP_BODY_TOO_LARGE, NULL, NULL },
 
-  { "answer", MR_HTTP_RESPONSE, OK "Content-Length: 2\r\n\r\nab", MR_HTTP_DONE, "ab", "" },
-  { "bytes behind an answer", MR_HTTP_RESPONSE, OK "Content-Length: 2\r\n\r\nabX", MR_HTTP_DONE,
+  { "response", MR_HTTP_RESPONSE, OK "Content-Length: 2\r\n\r\nab", MR_HTTP_DONE, "ab", "" },
+  { "bytes after a response", MR_HTTP_RESPONSE, OK "Content-Length: 2\r\n\r\nabX", MR_HTTP_DONE,
     "ab", "X" },
-  { "answer cut short", MR_HTTP_RESPONSE, OK "Content-Length: 3\r\n\r\nab", MR_HTTP_BODY, "ab",
-    "" },
-  { "answer without a length", MR_HTTP_RESPONSE, OK "\r\nab", MR_HTTP_BODY, "ab", "" },
-  { "answer without content", MR_HTTP_RESPONSE, "HTTP/1.1 204 No Content\r\n\r\n", MR_HTTP_DONE, "",
+  { "truncated response", MR_HTTP_RESPONSE, OK "Content-Length: 3\r\n\r\nab", MR_HTTP_BODY, "ab",
     "" },
-  { "interim answer first", MR_HTTP_RESPONSE,
+  { "response without a length", MR_HTTP_RESPONSE, OK "\r\nab", MR_HTTP_BODY, "ab", "" },
+  { "response without content", MR_HTTP_RESPONSE, "HTTP/1.1 204 No Content\r\n\r\n", MR_HTTP_DONE,
+    "", "" },
+  { "interim response first", MR_HTTP_RESPONSE,
     "HTTP/1.1 100 Continue\r\n\r\n" OK "Content-Length: 1\r\n\r\na", MR_HTTP_DONE, "a", "" },
-  { "answer that is none", MR_HTTP_RESPONSE, "garbage\r\n\r\n", MR_HTTP_MALFORMED, "", NULL },
+  { "response that is not HTTP", MR_HTTP_RESPONSE, "garbage\r\n\r\n", MR_HTTP_MALFORMED, "", NULL },
 };
 
 static const MrHttpLimits limits = { .max_head_bytes = 100, .max_body_bytes = 16 };
 
 static void
-S_check (const Case *c, const MrHttpParser *p, gsize used, const char *how)
+S_check_case (const Case *c, const MrHttpParser *p, gsize consumed, const char *mode)
 {
   if (mr_http_parser_state (p) != c->state)
-    fail_msg ("%s, %s: state %d, expected %d", c->name, how, mr_http_parser_state (p), c->state);
-  if (c->rest && !g_str_equal (c->bytes + used, c->rest))
-    fail_msg ("%s, %s: '%s' is left, expected '%s'", c->name, how, c->bytes + used, c->rest);
+    fail_msg ("%s, %s: state %d, expected %d", c->name, mode, mr_http_parser_state (p), c->state);
+  if (c->unconsumed && !g_str_equal (c->bytes + consumed, c->unconsumed))
+    fail_msg ("%s, %s: '%s' was not consumed, expected '%s'", c->name, mode, c->bytes + consumed,
+              c->unconsumed);
   if (c->body && c->state <= MR_HTTP_DONE &&
       !mr_text_equal (mr_http_parser_body (p), mr_text (c->body)))
-    fail_msg ("%s, %s: wrong body", c->name, how);
+    fail_msg ("%s, %s: wrong body", c->name, mode);
 }
 
-/* In one piece and byte by byte: where a read ends must change nothing. */
+/* Feeds each case in one call and byte by byte: the result must not depend on how the input is
+ * split. */
 static void
 test_messages (void **state)
 {
@@ -117,39 +120,39 @@
       const Case *c = &cases[i];
       MrHttpParser *p = mr_http_parser_new (c->kind);
       mr_http_parser_set_limits (p, limits);
-      S_check (c, p, mr_http_parser_feed (p, mr_text (c->bytes)), "in one piece");
+      S_check_case (c, p, mr_http_parser_feed (p, mr_text (c->bytes)), "in one piece");
       mr_http_parser_reset (p);
-      gsize used = 0;
-      while (c->bytes[used] && mr_http_parser_state (p) < MR_HTTP_DONE)
-        used += mr_http_parser_feed (p, (MrText){ .data = c->bytes + used, .len = 1 });
-      S_check (c, p, used, "byte by byte");
+      gsize consumed = 0;
+      while (c->bytes[consumed] && mr_http_parser_state (p) < MR_HTTP_DONE)
+        consumed += mr_http_parser_feed (p, (MrText){ .data = c->bytes + consumed, .len = 1 });
+      S_check_case (c, p, consumed, "byte by byte");
       mr_http_parser_free (p);
     }
 }
 
-/* A body that runs to the end of its connection is whole only if the connection
- * ended in order; every other message is cut short by any end. */
+/* A body without a length ends when the connection is closed in order; any other message is then
+ * incomplete. */
 static void
-test_end (void **state)
+test_connection_end (void **state)
 {
   static const struct
   {
     const char *bytes;
     MrHttpState state;
-  } ends[] = {
+  } end_cases[] = {
     { OK "\r\nab", MR_HTTP_DONE },
     { OK "Content-Length: 3\r\n\r\nab", MR_HTTP_MALFORMED },
     { OK "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", MR_HTTP_MALFORMED },
     { OK, MR_HTTP_HEAD },
   };
   (void) state;
-  for (gsize i = 0; i < G_N_ELEMENTS (ends); i++)
+  for (gsize i = 0; i < G_N_ELEMENTS (end_cases); i++)
     {
       MrHttpParser *p = mr_http_parser_new (MR_HTTP_RESPONSE);
-      mr_http_parser_feed (p, mr_text (ends[i].bytes));
+      mr_http_parser_feed (p, mr_text (end_cases[i].bytes));
       mr_http_parser_finish (p);
       gboolean done = mr_http_parser_state (p) == MR_HTTP_DONE;
-      assert_int_equal (done, ends[i].state == MR_HTTP_DONE);
+      assert_int_equal (done, end_cases[i].state == MR_HTTP_DONE);
       mr_http_parser_free (p);
     }
 }
@@ -176,7 +179,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_messages),
-    cmocka_unit_test (test_end),
+    cmocka_unit_test (test_connection_end),
     cmocka_unit_test (test_fields),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
