--- a/src/clock.h
+++ b/src/clock.h
@@ -1,8 +1,8 @@
-/* Time as decisions see it: microseconds on a steady clock that
- * counts the time that the VM was suspended: a deadline passes all the same.
+/* Monotonic time in microseconds.  The clock includes the time in which the VM was suspended, since
+ * deadlines pass during suspension too.
  *
- * Decision modules never read a clock; they take MrTime as an argument, so
- * that tests drive them on a virtual clock.  Only tasks call mr_now (). */
+ * Modules that make decisions do not read the clock: they take the current time as an argument, so
+ * that tests can run them with virtual time.  Only tasks call mr_now (). */
 #pragma once
 
 #include <glib.h>
@@ -22,7 +22,8 @@
   return time.tv_sec * MR_SECOND + time.tv_nsec / 1000;
 }
 
-/* Seconds since 1970, for what is told to other VMs; the clock may be set. */
+/* Seconds since 1970, for times that are sent to other VMs.  Unlike mr_now (), this clock may be
+ * adjusted. */
 static inline guint32
 mr_unix_time (void)
 {
--- a/src/log.c
+++ b/src/log.c
@@ -10,20 +10,20 @@
 
 enum
 {
-  MESSAGE_MAX_BYTES = 1024,
+  MAX_MESSAGE_BYTES = 1024,
   LOG_BURST = 20,
   EVENT_FIRST = 1000,
-  EVENT_SPAN = 1000,
-  /* A pipe that polls as writable takes this much without waiting (PIPE_BUF). */
-  LINE_MAX_BYTES = 4096,
+  MAX_EVENTS = 1000,
+  /* A pipe that poll () reports as writable accepts this much without blocking (PIPE_BUF). */
+  MAX_LINE_BYTES = 4096,
 };
 
-/* Lines of one event number in the current second. */
+/* Number of lines with one event number in the current second. */
 typedef struct
 {
   gint64 second;
   guint count;
-} Window;
+} RateWindow;
 
 struct _MrLogLine
 {
@@ -31,9 +31,9 @@
 };
 
 static atomic_int max_level = MR_LOG_INFO;
-static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-static Window windows[EVENT_SPAN];
-static guint64 dropped; /* lines, since the last that was written */
+static pthread_mutex_t log_mutex = PTHREAD_MUTEX_INITIALIZER;
+static RateWindow rate_windows[MAX_EVENTS];
+static guint64 dropped; /* lines since the last one that was written */
 
 void
 mr_log_set_level (MrLogLevel level)
@@ -41,18 +41,18 @@
   atomic_store (&max_level, (int) level);
 }
 
-/* Counts one line of @event; false if the second's burst is used up.
- * @left_out gets the number suppressed in the last full second. */
+/* Counts a line with @event; false if the limit for the current second is reached.  @suppressed
+ * receives the number of lines over the limit in the last second that had lines with @event. */
 static bool
-S_allow (MrEvent event, guint *left_out)
+S_is_within_limit (MrEvent event, guint *suppressed)
 {
-  Window *window = &windows[((guint) event - EVENT_FIRST) % EVENT_SPAN];
+  RateWindow *window = &rate_windows[((guint) event - EVENT_FIRST) % MAX_EVENTS];
   gint64 second = mr_now () / MR_SECOND;
-  *left_out = 0;
+  *suppressed = 0;
   if (window->second != second)
     {
-      *left_out = window->count > LOG_BURST ? window->count - LOG_BURST : 0;
-      *window = (Window){ .second = second };
+      *suppressed = window->count > LOG_BURST ? window->count - LOG_BURST : 0;
+      *window = (RateWindow){ .second = second };
     }
   return ++window->count <= LOG_BURST;
 }
@@ -60,12 +60,12 @@
 MrLogLine *
 mr_log_begin (MrLogLevel level, MrEvent event)
 {
-  guint left_out = 0;
+  guint suppressed = 0;
   if ((int) level > atomic_load (&max_level))
     return NULL;
-  pthread_mutex_lock (&lock);
-  bool allowed = S_allow (event, &left_out);
-  pthread_mutex_unlock (&lock);
+  pthread_mutex_lock (&log_mutex);
+  bool allowed = S_is_within_limit (event, &suppressed);
+  pthread_mutex_unlock (&log_mutex);
   if (!allowed)
     return NULL;
   MrLogLine *line = g_new (MrLogLine, 1);
@@ -73,13 +73,13 @@
   g_string_append_printf (line->text,
                           "{\"time\":%" G_GINT64_FORMAT ",\"level\":%d,\"event\":\"E%d\"",
                           g_get_real_time () / MR_MS, (int) level, (int) event);
-  if (left_out > 0)
-    mr_log_number (line, "left_out", left_out);
+  if (suppressed > 0)
+    mr_log_number (line, "left_out", suppressed);
   return line;
 }
 
 static void
-S_key (MrLogLine *line, const char *key)
+S_append_key (MrLogLine *line, const char *key)
 {
   g_string_append_printf (line->text, ",\"%s\":", key);
 }
@@ -104,7 +104,7 @@
 {
   if (!line)
     return;
-  S_key (line, key);
+  S_append_key (line, key);
   g_string_append_c (line->text, '"');
   S_append_escaped (line->text, value);
   g_string_append_c (line->text, '"');
@@ -115,7 +115,7 @@
 {
   if (!line)
     return;
-  S_key (line, key);
+  S_append_key (line, key);
   g_string_append_printf (line->text, "%" G_GINT64_FORMAT, value);
 }
 
@@ -124,12 +124,12 @@
 {
   if (!line)
     return;
-  S_key (line, key);
+  S_append_key (line, key);
   g_string_append_len (line->text, json.data, (gssize) json.len);
 }
 
-/* A reader that has stopped must not stop the daemon: a full pipe costs lines,
- * and the next one that goes out says how many. */
+/* The daemon must not block if nothing reads its output: when the pipe is full, the line is
+ * dropped, and the next line that is written gives the number of dropped lines. */
 static void
 S_write (GString *text)
 {
@@ -142,7 +142,7 @@
   if (dropped > 0)
     g_string_append_printf (text, ",\"dropped\":%" G_GUINT64_FORMAT, dropped);
   g_string_append (text, "}\n");
-  if (text->len > LINE_MAX_BYTES || write (STDOUT_FILENO, text->str, text->len) < 0)
+  if (text->len > MAX_LINE_BYTES || write (STDOUT_FILENO, text->str, text->len) < 0)
     dropped++;
   else
     dropped = 0;
@@ -153,9 +153,9 @@
 {
   if (!line)
     return;
-  pthread_mutex_lock (&lock);
+  pthread_mutex_lock (&log_mutex);
   S_write (line->text);
-  pthread_mutex_unlock (&lock);
+  pthread_mutex_unlock (&log_mutex);
   g_string_free (line->text, TRUE);
   g_free (line);
 }
@@ -163,7 +163,7 @@
 void
 mr_log (MrLogLevel level, MrEvent event, const char *format, ...)
 {
-  char text[MESSAGE_MAX_BYTES];
+  char text[MAX_MESSAGE_BYTES];
   if ((int) level > atomic_load (&max_level))
     return;
   va_list args;
--- a/src/log.h
+++ b/src/log.h
@@ -1,10 +1,10 @@
-/* Log lines: one JSON object a line on standard output, with numbered events.
+/* Structured log on standard output: one JSON object per line, with numbered events.
  *
- * A line reads {"time":MS,"level":N,"event":"E1234",...}; numbers are stable
- * and listed in docs/EVENTS.md.  Volume is bounded: each event number gets
- * LOG_BURST lines a second, and the first line after a limited second says how
- * many were left out.  Writing never waits: while the reader of the output has
- * stopped reading, lines are dropped and counted. */
+ * A line looks like {"time":MS,"level":N,"event":"E1234",...}.  Event numbers do not change; they
+ * are listed in docs/EVENTS.md.  The log is rate-limited: each event number is allowed LOG_BURST
+ * lines per second, and the first line after a second with more of them gives the number of
+ * suppressed lines as "left_out".  Logging never blocks: while nothing reads the output, lines are
+ * dropped and counted as "dropped". */
 #pragma once
 
 #include "text.h"
@@ -71,19 +71,19 @@
   MR_EVENT_EARLY_REQUESTS = 1707,
 } MrEvent;
 
-/* Lines above @level are left out; the default is MR_LOG_INFO. */
+/* Suppresses lines with a level above @level; the default is MR_LOG_INFO. */
 void mr_log_set_level (MrLogLevel level);
 
-/* A line whose one field, "message", is the formatted text. */
+/* Writes a line with the formatted text as its only field, "message". */
 void mr_log (MrLogLevel level, MrEvent event, const char *format, ...) G_GNUC_PRINTF (3, 4);
 
-/* A line with fields of its own, built up and written by mr_log_end (). */
+/* A line with arbitrary fields, which mr_log_end () writes and frees. */
 typedef struct _MrLogLine MrLogLine;
 
-/* NULL if the line is to be left out; the functions below take that. */
+/* Returns NULL if the line is suppressed; the functions below accept NULL. */
 MrLogLine *mr_log_begin (MrLogLevel level, MrEvent event);
 void mr_log_text (MrLogLine *line, const char *key, MrText value);
 void mr_log_number (MrLogLine *line, const char *key, gint64 value);
-/* @json: a value that is JSON already. */
+/* @json: a value that is already encoded as JSON. */
 void mr_log_json (MrLogLine *line, const char *key, MrText json);
 void mr_log_end (MrLogLine *line);
--- a/src/metrics.c
+++ b/src/metrics.c
@@ -2,7 +2,7 @@
 
 #include <stdatomic.h>
 
-static atomic_ullong values[MR_METRIC_COUNT];
+static atomic_ullong counters[MR_METRIC_COUNT];
 
 static atomic_uint open_batches;
 
@@ -49,29 +49,29 @@
 void
 mr_metrics_add (MrMetric metric, guint64 amount)
 {
-  atomic_fetch_add_explicit (&values[metric], amount, memory_order_relaxed);
+  atomic_fetch_add_explicit (&counters[metric], amount, memory_order_relaxed);
 }
 
 guint64
 mr_metrics_get (MrMetric metric)
 {
-  return atomic_load_explicit (&values[metric], memory_order_relaxed);
+  return atomic_load_explicit (&counters[metric], memory_order_relaxed);
 }
 
 static void
-S_set (MrMetric metric, guint64 value)
+S_set_counter (MrMetric metric, guint64 value)
 {
-  atomic_store_explicit (&values[metric], value, memory_order_relaxed);
+  atomic_store_explicit (&counters[metric], value, memory_order_relaxed);
 }
 
 void
 mr_metrics_set_dispatch (const MrDispatchCounts *counts)
 {
-  S_set (MR_METRIC_HEDGES, counts->hedges);
-  S_set (MR_METRIC_RETRIES, counts->retries);
-  S_set (MR_METRIC_SHED, counts->shed);
-  S_set (MR_METRIC_DISCARDED, counts->discarded);
-  S_set (MR_METRIC_SILENT, counts->silent);
+  S_set_counter (MR_METRIC_HEDGES, counts->hedges);
+  S_set_counter (MR_METRIC_RETRIES, counts->retries);
+  S_set_counter (MR_METRIC_SHED, counts->shed);
+  S_set_counter (MR_METRIC_DISCARDED, counts->discarded);
+  S_set_counter (MR_METRIC_SILENT, counts->silent);
 }
 
 void
@@ -103,20 +103,20 @@
                             const char *label,
                             const MrHistogram *histogram)
 {
-  guint64 sum = 0;
+  guint64 cumulative_count = 0;
   for (guint i = 0; i < MR_HISTOGRAM_BUCKETS; i++)
     {
       if (histogram->buckets[i] == 0)
         continue;
-      sum += histogram->buckets[i];
+      cumulative_count += histogram->buckets[i];
       g_string_append_printf (
           out, "merlinring_%s_seconds_bucket{%s,le=\"%.6f\"} %" G_GUINT64_FORMAT "\n", name, label,
-          (double) mr_histogram_bucket_max (i) / 1e6, sum);
+          (double) mr_histogram_bucket_max (i) / 1e6, cumulative_count);
     }
   g_string_append_printf (out,
                           "merlinring_%s_seconds_bucket{%s,le=\"+Inf\"} %" G_GUINT64_FORMAT "\n"
                           "merlinring_%s_seconds_sum{%s} %.6f\n"
                           "merlinring_%s_seconds_count{%s} %" G_GUINT64_FORMAT "\n",
-                          name, label, sum, name, label, (double) histogram->sum / 1e6, name, label,
-                          sum);
+                          name, label, cumulative_count, name, label, (double) histogram->sum / 1e6,
+                          name, label, cumulative_count);
 }
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -1,7 +1,7 @@
-/* Counters of this process, in the usual exposition text.
+/* Counters of this process, in the Prometheus text format.
  *
- * Counters are atomic and may be raised from any task; histograms belong to
- * the entry task alone. */
+ * Counters are atomic and may be incremented by any task.  A histogram is not: only the task that
+ * owns it may write it. */
 #pragma once
 
 #include "dispatch.h"
@@ -35,7 +35,7 @@
   MR_METRIC_OWNER_SILENT,
   MR_METRIC_PEER_SENT_BYTES,
   MR_METRIC_PEER_RECEIVED_BYTES,
-  MR_METRIC_PEER_CONTROL_BYTES, /* of what was sent: all but searches, orders */
+  MR_METRIC_PEER_CONTROL_BYTES, /* of the bytes sent, all but searches and orders */
   MR_METRIC_PEER_BAD,
   MR_METRIC_PEER_STALE,
   MR_METRIC_PLATFORM_CALLS,
@@ -48,17 +48,17 @@
 void mr_metrics_add (MrMetric metric, guint64 amount);
 guint64 mr_metrics_get (MrMetric metric);
 
-/* Copies the dispatcher's own counts. */
+/* Copies the counters of the dispatcher. */
 void mr_metrics_set_dispatch (const MrDispatchCounts *counts);
 
-/* Batches of all roots that this daemon works on now. */
+/* Number of batches, for any root, that this daemon is processing. */
 void mr_metrics_set_open_batches (guint count);
 guint mr_metrics_open_batches (void);
 
-/* Appends all counters. */
+/* Appends all counters to @out. */
 void mr_metrics_write (GString *out);
 
-/* Appends one histogram, in seconds; @label is `key="value"`. */
+/* Appends one histogram in seconds to @out; @label has the form `key="value"`. */
 void mr_metrics_write_histogram (GString *out,
                                  const char *name,
                                  const char *label,
--- a/src/process.c
+++ b/src/process.c
@@ -10,7 +10,7 @@
   *process = (MrProcess){ 0 };
   if (getrandom (process->random_bytes, sizeof process->random_bytes, 0) !=
       (ssize_t) sizeof process->random_bytes)
-    return mr_fail (MR_ERROR_SYSTEM, "no random bytes from the system");
+    return mr_fail (MR_ERROR_SYSTEM, "cannot read random bytes from the system");
   sigemptyset (&process->signals);
   sigaddset (&process->signals, SIGTERM);
   sigaddset (&process->signals, SIGINT);
@@ -24,9 +24,9 @@
 guint64
 mr_process_incarnation (const MrProcess *process)
 {
-  guint64 number = 0;
-  memcpy (&number, process->random_bytes, sizeof number);
-  return number;
+  guint64 incarnation = 0;
+  memcpy (&incarnation, process->random_bytes, sizeof incarnation);
+  return incarnation;
 }
 
 guint32
@@ -38,33 +38,33 @@
 }
 
 static void
-S_run (MrProcess *process, void *(*body) (void *user), void *user)
+S_start_thread (MrProcess *process, void *(*body) (void *user), void *user)
 {
   pthread_create (&process->threads[process->thread_count++], NULL, body, user);
 }
 
 static void *
-S_run_loop (void *loop)
+S_loop_thread (void *loop)
 {
   mr_loop_run (loop);
   return NULL;
 }
 
 static void
-S_start (MrProcess *process, const MrProcessTasks *tasks)
+S_start_tasks (MrProcess *process, const MrProcessTasks *tasks)
 {
-  S_run (process, mr_control_task_thread, tasks->control);
-  for (guint i = 0; i < MR_PROCESS_LOOPS_MAX && tasks->loops[i]; i++)
-    S_run (process, S_run_loop, tasks->loops[i]);
+  S_start_thread (process, mr_control_task_thread, tasks->control);
+  for (guint i = 0; i < MR_PROCESS_MAX_LOOPS && tasks->loops[i]; i++)
+    S_start_thread (process, S_loop_thread, tasks->loops[i]);
 }
 
 static void
-S_wait (const MrProcess *process, const MrProcessTasks *tasks)
+S_handle_signals (const MrProcess *process, const MrProcessTasks *tasks)
 {
-  int number = 0;
-  while (sigwait (&process->signals, &number) == 0 && number != SIGUSR1)
+  int signal_number = 0;
+  while (sigwait (&process->signals, &signal_number) == 0 && signal_number != SIGUSR1)
     {
-      if (number != SIGHUP)
+      if (signal_number != SIGHUP)
         tasks->stop (tasks->user);
       else if (tasks->reload)
         tasks->reload (tasks->user);
@@ -72,10 +72,10 @@
 }
 
 static void
-S_stop (const MrProcess *process, const MrProcessTasks *tasks)
+S_stop_tasks (const MrProcess *process, const MrProcessTasks *tasks)
 {
   g_usleep ((gulong) tasks->shutdown_delay);
-  for (guint i = 0; i < MR_PROCESS_LOOPS_MAX && tasks->loops[i]; i++)
+  for (guint i = 0; i < MR_PROCESS_MAX_LOOPS && tasks->loops[i]; i++)
     mr_loop_stop (tasks->loops[i]);
   mr_control_task_stop (tasks->control);
   for (guint i = 0; i < process->thread_count; i++)
@@ -85,16 +85,17 @@
 void
 mr_process_run (MrProcess *process, const MrProcessTasks *tasks, const MrSettings *settings)
 {
-  S_start (process, tasks);
-  mr_log (MR_LOG_NOTICE, MR_EVENT_STARTED, "%s started in %s: callers %s:%d, peers %s:%d",
+  S_start_tasks (process, tasks);
+  mr_log (MR_LOG_NOTICE, MR_EVENT_STARTED,
+          "%s started in domain %s, listening on %s:%d for callers and %s:%d for peers",
           settings->name, settings->domain, settings->ip, settings->http_port, settings->ip,
           settings->peer_port);
-  S_wait (process, tasks);
-  S_stop (process, tasks);
+  S_handle_signals (process, tasks);
+  S_stop_tasks (process, tasks);
   mr_log (MR_LOG_NOTICE, MR_EVENT_STOPPED, "%s stopped", settings->name);
 }
 
-/* The main thread waits for signals; the end is one more. */
+/* The main thread waits for signals in S_handle_signals (), which SIGUSR1 ends. */
 void
 mr_process_quit (void)
 {
--- a/src/process.h
+++ b/src/process.h
@@ -1,5 +1,4 @@
-/* What every daemon process does around its tasks: signals, random bytes,
- * threads. */
+/* Process-wide setup of a daemon: signals, random bytes and one thread per task. */
 #pragma once
 
 #include "control_task.h"
@@ -11,38 +10,38 @@
 enum
 {
   MR_PROCESS_RANDOM_BYTES = 32,
-  MR_PROCESS_LOOPS_MAX = 3,
+  MR_PROCESS_MAX_LOOPS = 3,
 };
 
 typedef struct
 {
   guint8 random_bytes[MR_PROCESS_RANDOM_BYTES];
   sigset_t signals;
-  pthread_t threads[MR_PROCESS_LOOPS_MAX + 1];
+  pthread_t threads[MR_PROCESS_MAX_LOOPS + 1];
   guint thread_count;
 } MrProcess;
 
-/* What a daemon serves with: its tasks, and what it does on a signal. */
+/* The tasks of a daemon and its signal handlers. */
 typedef struct
 {
   MrControlTask *control;
-  MrLoop *loops[MR_PROCESS_LOOPS_MAX]; /* one thread each; in the order of their end */
-  void (*stop) (void *user);           /* each SIGTERM or SIGINT; a second changes nothing */
-  void (*reload) (void *user);         /* each SIGHUP; may be NULL */
+  MrLoop *loops[MR_PROCESS_MAX_LOOPS]; /* one thread each; stopped in this order */
+  void (*stop) (void *user);           /* on each SIGTERM or SIGINT; must be idempotent */
+  void (*reload) (void *user);         /* on each SIGHUP; may be NULL */
   void *user;
-  /* Between the end of serving and that of the threads, for the last heartbeat,
-   * which says that this daemon has left. */
+  /* Delay before the threads are stopped, in which the last heartbeat announces to the peers that
+   * this daemon has left. */
   MrTime shutdown_delay;
 } MrProcessTasks;
 
-/* Blocks the signals that mr_process_serve () takes; before any thread starts. */
+/* Blocks the signals that mr_process_run () handles; to be called before any thread is started. */
 MrStatus mr_process_init (MrProcess *process);
 
-/* Numbers out of the process's random bytes. */
+/* Numbers derived from the random bytes of the process. */
 guint64 mr_process_incarnation (const MrProcess *process);
 guint32 mr_process_seed (const MrProcess *process);
 
-/* Runs the tasks until mr_process_end (). */
+/* Runs the tasks until mr_process_quit () is called. */
 void mr_process_run (MrProcess *process, const MrProcessTasks *tasks, const MrSettings *settings);
-/* From any thread. */
+/* Makes mr_process_run () return; may be called from any thread. */
 void mr_process_quit (void);
--- a/src/status.c
+++ b/src/status.c
@@ -5,10 +5,10 @@
 
 enum
 {
-  MESSAGE_MAX = 512
+  MESSAGE_MAX_BYTES = 512
 };
 
-static _Thread_local char last_message[MESSAGE_MAX];
+static _Thread_local char last_message[MESSAGE_MAX_BYTES];
 
 MrStatus
 mr_fail (MrStatus status, const char *format, ...)
--- a/src/status.h
+++ b/src/status.h
@@ -1,8 +1,7 @@
-/* Status of a call that can fail: a number and the last message.
+/* Status codes of functions that can fail, with a message.
  *
- * Functions return MrStatus.  The message of the last failure of the calling
- * thread is read with mr_status_message (); it is overwritten by the next
- * failure of that thread. */
+ * mr_status_message () returns the message of the last failure in the calling thread; the next
+ * failure in that thread overwrites it. */
 #pragma once
 
 #include <glib.h>
@@ -10,21 +9,21 @@
 typedef enum
 {
   MR_OK = 0,
-  MR_ERROR_INVALID,         /* input breaks a stated rule */
-  MR_ERROR_CONFLICT,        /* a conditional write lost its race */
-  MR_ERROR_NOT_FOUND,       /* no such object */
-  MR_ERROR_UNAVAILABLE,     /* the other side is not reachable now */
-  MR_ERROR_OUTCOME_UNKNOWN, /* sent, but the outcome is not known */
-  MR_ERROR_LIMIT,           /* a stated bound would be passed */
-  MR_ERROR_SYSTEM,          /* the operating system refused */
+  MR_ERROR_INVALID,         /* the input is not valid */
+  MR_ERROR_CONFLICT,        /* a conditional write found another version */
+  MR_ERROR_NOT_FOUND,       /* the object does not exist */
+  MR_ERROR_UNAVAILABLE,     /* the other side cannot be reached at present */
+  MR_ERROR_OUTCOME_UNKNOWN, /* the request was sent, but there is no answer */
+  MR_ERROR_LIMIT,           /* a limit would be exceeded */
+  MR_ERROR_SYSTEM,          /* a system call failed */
 } MrStatus;
 
-/* Sets the thread's message and returns @status, to be used as
+/* Sets the message of the calling thread and returns @status, for use as
  * `return mr_fail (MR_ERROR_INVALID, "...")`. */
 MrStatus mr_fail (MrStatus status, const char *format, ...) G_GNUC_PRINTF (2, 3);
 
-/* Last message of this thread; never NULL. */
+/* Last message of the calling thread; never NULL. */
 const char *mr_status_message (void);
 
-/* Stable lower-case name of @status. */
+/* Name of @status for output; does not change between versions. */
 const char *mr_status_name (MrStatus status);
--- a/src/text.c
+++ b/src/text.c
@@ -2,14 +2,14 @@
 
 enum
 {
-  U64_DIGITS = 20
+  U64_MAX_DIGITS = 20
 };
 
 bool
 mr_text_parse_u64 (MrText text, guint64 *value)
 {
-  char digits[U64_DIGITS + 1];
-  if (text.len == 0 || text.len > U64_DIGITS)
+  char digits[U64_MAX_DIGITS + 1];
+  if (text.len == 0 || text.len > U64_MAX_DIGITS)
     return false;
   memcpy (digits, text.data, text.len);
   digits[text.len] = '\0';
--- a/src/text.h
+++ b/src/text.h
@@ -1,7 +1,7 @@
-/* Length-counted strings.
+/* Strings with an explicit length.
  *
- * MrText borrows bytes that somebody else owns; it need not end in NUL.
- * GString (GLib) is used where bytes are owned or grow. */
+ * MrText points to bytes that it does not own and that need not be NUL-terminated.  GString is used
+ * for bytes that are owned or grow. */
 #pragma once
 
 #include <glib.h>
@@ -16,7 +16,7 @@
 
 #define MR_TEXT(literal) ((MrText){ .data = (literal), .len = sizeof (literal) - 1 })
 
-/* Borrows a NUL-terminated string; NULL gives the empty text. */
+/* Text of a NUL-terminated string; NULL gives the empty text. */
 static inline MrText
 mr_text (const char *string)
 {
@@ -35,13 +35,13 @@
   return a.len == b.len && (a.len == 0 || memcmp (a.data, b.data, a.len) == 0);
 }
 
-/* Owned NUL-terminated copy; freed with g_free (). */
+/* Returns a NUL-terminated copy, to be freed with g_free (). */
 static inline char *
 mr_text_dup (MrText text)
 {
   return g_strndup (text.data ? text.data : "", text.len);
 }
 
-/* Parses a decimal number that fills the whole text.  False on anything else,
- * overflow included; @value is then left alone. */
+/* Parses a text that consists of one decimal number.  Returns false on any other text and on
+ * overflow; @value is then unchanged. */
 bool mr_text_parse_u64 (MrText text, guint64 *value);
