--- a/src/task_message.h
+++ b/src/task_message.h
@@ -169,9 +169,10 @@
   int status; /* MrStatus */
   guint64 revision;
   guint64 version; /* of WRITE */
-  guint64
-      removed_version; /* of LIST: above the version of every object listed, below any later one */
-  gboolean truncated;  /* of LIST: there are more names after the last one */
+  /* Of LIST: version of the removal of objects that it lacks; above every listed version, below
+   * any later one. */
+  guint64 removed_version;
+  gboolean truncated;       /* of LIST: there are more names after the last one */
   gboolean history_expired; /* of LIST: the changes since that revision are no longer available */
   GPtrArray *objects;
   GArray *vms; /* MrPlatformVm */
