--- a/src/batch.c
+++ b/src/batch.c
@@ -7,9 +7,9 @@
 };
 
 const char *
-mr_traffic_class_name (MrTrafficClass cls)
+mr_traffic_class_name (MrTrafficClass traffic_class)
 {
-  return class_names[cls];
+  return class_names[traffic_class];
 }
 
 MrTrafficClass
@@ -22,9 +22,9 @@
 }
 
 MrFingerprint
-mr_batch_fingerprint (const char *service, gboolean order, MrText query, guint64 content_key)
+mr_batch_fingerprint (const char *service, gboolean is_order, MrText payload, guint64 content_key)
 {
-  const MrText texts[] = { mr_text (order ? "order" : "search"), mr_text (service), query };
+  const MrText texts[] = { mr_text (is_order ? "order" : "search"), mr_text (service), payload };
   return mr_fingerprint_compute (texts, G_N_ELEMENTS (texts), content_key);
 }
 
--- a/src/dispatch.h
+++ b/src/dispatch.h
@@ -1,14 +1,15 @@
-/* Owner's side of a search: batches of shard calls, one partial answer each.
+/* The owner's side of a search: executes batches of shard calls and returns a partial answer for
+ * each batch.
  *
- * Admission, echoes and merging are here; which call goes to which target, and
- * when, is decided by the engine that relayed requests use as well (relay.h).  A
- * shard call waits in one queue for all its replicas and goes to the first that
- * has a free slot, so no call waits behind a straggler while another replica
- * idles.  Classes are served by arrival time plus a lag for each class, which
- * orders them and ages them at once.  Pure decisions: time comes as an argument,
- * calls go out through a vtable.
+ * This module admits batches, validates the answers of targets and merges them.  The scheduler that
+ * is also used for relayed requests (relay.h) decides when each call is sent, and to which target.
+ * A shard call waits in one queue that is shared by its replicas and goes to the first replica with
+ * a free slot, so that no call waits behind a straggler while another replica is idle.  The queue
+ * is ordered by arrival time plus a delay for each traffic class, which gives priority to urgent
+ * calls without starving the others.  The code does no I/O: time is passed as an argument, and
+ * calls are sent through a vtable.
  *
- * What is measured and what was ruled out: docs/design/query-policy.md. */
+ * Measurements and rejected alternatives: docs/design/query-policy.md. */
 #pragma once
 
 #include "batch.h"
@@ -16,14 +17,14 @@
 #include "quarantine.h"
 #include "target.h"
 
-/* While a batch is open its root hears of it this often; without a word a root
- * could not tell a long queue from a dead owner. */
-#define MR_WORKING_GAP (10 * MR_MS)
+/* Interval of the progress reports on an open batch.  Without them the root could not distinguish a
+ * long queue from a dead owner. */
+#define MR_PROGRESS_INTERVAL (10 * MR_MS)
 
 typedef struct _MrDispatch MrDispatch;
 typedef struct _MrDispatchHost MrDispatchHost;
 
-/* A call to be sent. Borrowed. */
+/* A call to be sent.  The pointers are borrowed. */
 typedef struct
 {
   guint64 id; /* never reused within an incarnation */
@@ -32,12 +33,12 @@
   guint shard;
 } MrShardCall;
 
-/* How a call ended. Borrowed; hits are moved out if they are used. */
+/* Result of a call.  The pointers are borrowed; hits that are used are moved out of the array. */
 typedef struct
 {
-  guint64 id; /* of the call on whose connection the answer came */
+  guint64 id; /* of the call that was sent on the connection of the answer */
   MrCallOutcome outcome;
-  guint64 echoed_id; /* what the answer says of itself */
+  guint64 echoed_id; /* as stated in the answer; also the next two */
   MrText echoed_snapshot;
   MrText echoed_shard;
   MrHit *hits;
@@ -45,19 +46,20 @@
   MrText order_reply;
 } MrCallResult;
 
-/* Vtable; first member of whoever carries out the calls. */
+/* Vtable; first member of the structure that sends the calls. */
 struct _MrDispatchHost
 {
   void (*start_call) (MrDispatchHost *host, const MrShardCall *call);
-  /* The call is not needed; its end is still to be reported. */
+  /* The answer is no longer needed; the host still reports the end of the call. */
   void (*cancel_call) (MrDispatchHost *host, guint64 id);
-  /* Probe on a new connection; result to mr_dispatch_probe_end (). */
+  /* Opens a new connection to test whether the target is alive; the result goes to
+   * mr_dispatch_probe_end (). */
   void (*probe) (MrDispatchHost *host, const MrTargetState *target);
-  /* Replace the idle connections of @target. */
+  /* Replaces the idle connections of @target. */
   void (*reconnect) (MrDispatchHost *host, const MrTargetState *target);
-  /* Takes @partial; must not call back into the dispatcher. */
+  /* Takes ownership of @partial.  Must not call the dispatcher. */
   void (*deliver_partial) (MrDispatchHost *host, MrPartial *partial);
-  /* More is known of targets that ended under a content: for all other daemons.  NULL:
+  /* Shares new evidence of targets that crashed under @content with the other daemons.  NULL if
    * there are none. */
   void (*publish_evidence) (MrDispatchHost *host,
                             MrFingerprint content,
@@ -67,55 +69,57 @@
 typedef struct
 {
   guint32 seed;
-  guint64 content_key; /* of fingerprints */
-  MrTime unix_offset;  /* of the clock that it is told, to that of Unix */
+  guint64 content_key; /* key of content fingerprints */
+  MrTime unix_offset;  /* Unix time minus the time that is passed to the functions below */
 } MrDispatchInfo;
 
 typedef struct
 {
-  guint64 calls;   /* started */
-  guint64 hedges;  /* of these */
-  guint64 retries; /* of these */
-  guint64 shed;
-  guint64 discarded; /* answers with another id, snapshot or shard */
-  guint64 refused;   /* batches */
-  guint64 expired;   /* shard calls given up for their deadline */
-  guint64 silent;    /* calls unanswered past their limit */
-  guint64 cancelled;
+  guint64 calls;     /* sent to targets */
+  guint64 hedges;    /* included in calls */
+  guint64 retries;   /* included in calls */
+  guint64 shed;      /* calls that a target rejected for overload */
+  guint64 discarded; /* answers with a wrong call id, snapshot or shard */
+  guint64 refused;   /* batches refused at admission */
+  guint64 expired;   /* shard calls that missed their deadline */
+  guint64 silent;    /* calls without an answer within the silence timeout */
+  guint64 cancelled; /* calls whose answer was no longer needed */
 } MrDispatchCounts;
 
 MrDispatch *mr_dispatch_new (MrDispatchHost *host, const MrDispatchInfo *info);
 void mr_dispatch_free (MrDispatch *dispatch);
 
-/* Takes @batch; its partial comes through done (), perhaps at once. */
+/* Takes ownership of @batch.  Its partial is passed to deliver_partial (), possibly before this
+ * function returns. */
 void mr_dispatch_submit (MrDispatch *dispatch, MrTime now, MrBatch *batch);
 
-/* The root no longer wants @batch_id; no partial is given. */
+/* Abandons a batch that its root no longer needs; no partial is delivered. */
 void mr_dispatch_abandon_batch (MrDispatch *dispatch, MrTime now, guint64 batch_id);
 
-/* FALSE if the answer was discarded: its connection is out of step. */
-gboolean mr_dispatch_call_end (MrDispatch *dispatch, MrTime now, MrCallResult *end);
+/* Returns FALSE if the answer was discarded because it belongs to another call: requests and
+ * answers on its connection are out of step. */
+gboolean mr_dispatch_call_end (MrDispatch *dispatch, MrTime now, MrCallResult *result);
 void mr_dispatch_probe_end (MrDispatch *dispatch, MrTime now, const char *key, bool answered);
 
-/* What others know of @content; NULL: it is to be forgotten. */
+/* Merges evidence from other daemons on @content; NULL removes all evidence. */
 void mr_dispatch_merge_evidence (MrDispatch *dispatch,
                                  MrTime now,
                                  MrFingerprint content,
                                  const MrEvidence *evidence);
 
-/* News from the list of VMs or the shard map. */
+/* Sets whether the list of VMs or the shard map marks the target as leaving. */
 void
 mr_dispatch_set_target_leaving (MrDispatch *dispatch, MrTime now, const char *key, bool leaving);
 
-/* Failure domains whose targets get no new work, as a set of texts. */
+/* Sets the failure domains whose targets get no new calls, as a set of strings. */
 void mr_dispatch_set_evacuated (MrDispatch *dispatch, MrTime now, GHashTable *domains);
 
-/* Carries out what is due; returns when to come back, or MR_NEVER. */
+/* Runs all timers that are due.  Returns the time of the next call, or MR_NEVER. */
 MrTime mr_dispatch_tick (MrDispatch *dispatch, MrTime now);
 
 const MrDispatchCounts *mr_dispatch_counts (MrDispatch *dispatch);
 guint mr_dispatch_batch_count (const MrDispatch *dispatch);
-/* Maps whose targets are laid out in sets. */
+/* Number of shard maps that have a layout. */
 guint mr_dispatch_map_count (const MrDispatch *dispatch);
 void mr_dispatch_foreach_target (const MrDispatch *dispatch,
                                  void (*visit) (const MrTargetState *target, void *user),
