--- a/src/merge.c
+++ b/src/merge.c
@@ -6,11 +6,11 @@
 {
   MrShardMap *map;
   guint top_k;
-  guint8 *covered; /* one byte a shard of the map */
+  guint8 *covered; /* boolean for each shard of the map */
   guint covered_count;
   guint64 covered_weight;
   guint hit_count;
-  MrHit *hits; /* best first; room for top_k */
+  MrHit *hits; /* best first; allocated for top_k hits */
 };
 
 MrMerge *
@@ -37,10 +37,9 @@
   g_free (merge);
 }
 
-/* Total order of hits, so that an answer does not depend on the order in which
- * replies come in. */
+/* Total order of hits, so that the result does not depend on the order in which answers arrive. */
 static int
-S_compare (const MrHit *a, const MrHit *b)
+S_compare_hits (const MrHit *a, const MrHit *b)
 {
   if (a->score != b->score)
     return a->score > b->score ? -1 : 1;
@@ -48,32 +47,31 @@
   return keys != 0 ? keys : (int) a->shard - (int) b->shard;
 }
 
-/* Inserts in order, moving @hit out; the worst falls off the end. */
+/* Moves @hit to its position in the sorted array and drops the worst hit if the array is full. */
 static void
-S_insert (MrMerge *merge, MrHit *hit)
+S_insert_hit (MrMerge *merge, MrHit *hit)
 {
-  guint place = merge->hit_count;
-  while (place > 0 && S_compare (hit, &merge->hits[place - 1]) < 0)
-    place--;
-  if (place == merge->top_k)
+  guint position = merge->hit_count;
+  while (position > 0 && S_compare_hits (hit, &merge->hits[position - 1]) < 0)
+    position--;
+  if (position == merge->top_k)
     return;
   if (merge->hit_count == merge->top_k)
     mr_hit_clear (&merge->hits[--merge->hit_count]);
-  memmove (&merge->hits[place + 1], &merge->hits[place],
-           (merge->hit_count - place) * sizeof *merge->hits);
+  memmove (&merge->hits[position + 1], &merge->hits[position],
+           (merge->hit_count - position) * sizeof *merge->hits);
   if (!hit->data && hit->render)
     hit->data = hit->render (hit->render_source);
-  merge->hits[place] = *hit;
+  merge->hits[position] = *hit;
   merge->hit_count++;
   hit->key = NULL;
   hit->data = NULL;
 }
 
-/* TRUE if @shard was not counted before.  A hedge's or second owner's answer to
- * a shard counted already would raise the coverage over what was read, and
- * could hide a missing shard; the flag is per query, so it is enough. */
+/* Marks @shard as covered.  Returns FALSE if it already is: counting the answer of a hedge or of a
+ * second owner again would state more coverage than was read, and could hide a missing shard. */
 static gboolean
-S_count (MrMerge *merge, guint shard)
+S_add_coverage (MrMerge *merge, guint shard)
 {
   if (shard >= merge->map->shard_count)
     return FALSE;
@@ -88,12 +86,12 @@
 gboolean
 mr_merge_add_shard (MrMerge *merge, guint shard, MrHit *hits, guint count)
 {
-  if (!S_count (merge, shard))
+  if (!S_add_coverage (merge, shard))
     return FALSE;
   for (guint i = 0; i < count; i++)
     {
       hits[i].shard = shard;
-      S_insert (merge, &hits[i]);
+      S_insert_hit (merge, &hits[i]);
     }
   return TRUE;
 }
@@ -101,19 +99,19 @@
 guint
 mr_merge_add_partial (MrMerge *merge, MrPartial *partial)
 {
-  g_autofree guint8 *fresh = g_new0 (guint8, merge->map->shard_count);
+  g_autofree guint8 *newly_covered = g_new0 (guint8, merge->map->shard_count);
   guint count = 0;
   for (guint i = 0; i < partial->covered_shard_count; i++)
-    if (S_count (merge, partial->covered_shards[i]))
+    if (S_add_coverage (merge, partial->covered_shards[i]))
       {
-        fresh[partial->covered_shards[i]] = 1;
+        newly_covered[partial->covered_shards[i]] = 1;
         count++;
       }
   for (guint i = 0; i < partial->hit_count; i++)
     {
       guint shard = partial->hits[i].shard;
-      if (shard < merge->map->shard_count && fresh[shard])
-        S_insert (merge, &partial->hits[i]);
+      if (shard < merge->map->shard_count && newly_covered[shard])
+        S_insert_hit (merge, &partial->hits[i]);
     }
   return count;
 }
--- a/src/merge_records.c
+++ b/src/merge_records.c
@@ -3,25 +3,25 @@
 #include <stdlib.h>
 
 static int
-S_greatest_first (const void *a, const void *b)
+S_compare_descending (const void *a, const void *b)
 {
   return memcmp (*(const char *const *) b, *(const char *const *) a, MR_RECORD_BYTES);
 }
 
 GString *
-mr_merge_records (const MrText *parts, guint count, guint most)
+mr_merge_records (const MrText *answers, guint count, guint max_records)
 {
   gsize total = 0;
   for (guint i = 0; i < count; i++)
-    total += parts[i].len / MR_RECORD_BYTES;
+    total += answers[i].len / MR_RECORD_BYTES;
   g_autofree const char **records = g_new (const char *, total + 1);
-  gsize n = 0;
+  gsize record_count = 0;
   for (guint i = 0; i < count; i++)
-    for (gsize at = 0; at + MR_RECORD_BYTES <= parts[i].len; at += MR_RECORD_BYTES)
-      records[n++] = parts[i].data + at;
-  qsort (records, n, sizeof *records, S_greatest_first);
-  GString *out = g_string_sized_new (MIN (n, most) * MR_RECORD_BYTES + 1);
-  for (gsize i = 0; i < n && i < most; i++)
-    g_string_append_len (out, records[i], MR_RECORD_BYTES);
-  return out;
+    for (gsize offset = 0; offset + MR_RECORD_BYTES <= answers[i].len; offset += MR_RECORD_BYTES)
+      records[record_count++] = answers[i].data + offset;
+  qsort (records, record_count, sizeof *records, S_compare_descending);
+  GString *merged = g_string_sized_new (MIN (record_count, max_records) * MR_RECORD_BYTES + 1);
+  for (gsize i = 0; i < record_count && i < max_records; i++)
+    g_string_append_len (merged, records[i], MR_RECORD_BYTES);
+  return merged;
 }
--- a/src/merge_records.h
+++ b/src/merge_records.h
@@ -1,5 +1,4 @@
-/* Merge of shards' answers that are sets of fixed-size records: the greatest
- * records of all, greatest first, compared byte by byte. */
+/* Merges answers of shards that consist of fixed-size records. */
 #pragma once
 
 #include "text.h"
@@ -9,6 +8,6 @@
   MR_RECORD_BYTES = 16
 };
 
-/* The greatest @most records of @parts; a remainder shorter than a record is no
- * record, and equal records all count. */
-GString *mr_merge_records (const MrText *parts, guint count, guint most);
+/* Returns the @max_records greatest records of @answers in descending bytewise order.  Equal
+ * records are all kept; trailing bytes that do not fill a record are ignored. */
+GString *mr_merge_records (const MrText *answers, guint count, guint max_records);
--- a/src/owner.c
+++ b/src/owner.c
@@ -2,7 +2,7 @@
 
 #include <xxhash.h>
 
-/* The failure domain that serves most first replicas of the cell. */
+/* The failure domain with the most first replicas of the cell. */
 static const char *
 S_cell_domain (const MrShardMap *map, guint cell, guint cell_shards)
 {
@@ -22,16 +22,16 @@
           best_count = count;
         }
       if (count * 2 > last - first)
-        break; /* a majority can't be beaten */
+        break; /* an absolute majority */
     }
   return best;
 }
 
 static gboolean
-S_skipped (const char *const *skip, const char *name)
+S_is_excluded (const char *const *excluded, const char *name)
 {
-  for (; skip && *skip; skip++)
-    if (g_str_equal (*skip, name))
+  for (; excluded && *excluded; excluded++)
+    if (g_str_equal (*excluded, name))
       return TRUE;
   return FALSE;
 }
@@ -41,34 +41,34 @@
                const MrShardMap *map,
                guint cell,
                guint cell_shards,
-               const char *const *skip,
+               const char *const *excluded,
                const MrMember **ranked,
-               guint most)
+               guint max)
 {
   const char *domain = S_cell_domain (map, cell, cell_shards);
   g_autofree char *key = g_strdup_printf ("%s/%u", map->service, cell);
   guint64 key_hash = XXH64 (key, strlen (key), 0);
-  g_autofree guint64 *scores = g_new0 (guint64, most + 1);
+  g_autofree guint64 *scores = g_new0 (guint64, max + 1);
   guint count = 0;
   for (guint i = 0; i < members->count; i++)
     {
       const MrMember *member = &members->members[i];
-      if (!mr_member_usable (member) || S_skipped (skip, member->name))
+      if (!mr_member_usable (member) || S_is_excluded (excluded, member->name))
         continue;
       guint64 score = XXH64 (member->name, strlen (member->name), key_hash) >> 1;
       if (g_str_equal (member->domain, domain))
         score |= G_GUINT64_CONSTANT (1) << 63;
-      guint place = count;
-      while (place > 0 && score > scores[place - 1])
-        place--;
-      if (place == most)
+      guint position = count;
+      while (position > 0 && score > scores[position - 1])
+        position--;
+      if (position == max)
         continue;
-      guint moved = MIN (count, most - 1) - place;
-      memmove (&scores[place + 1], &scores[place], moved * sizeof *scores);
-      memmove (&ranked[place + 1], &ranked[place], moved * sizeof (MrMember *));
-      scores[place] = score;
-      ranked[place] = member;
-      count = MIN (count + 1, most);
+      guint shifted = MIN (count, max - 1) - position;
+      memmove (&scores[position + 1], &scores[position], shifted * sizeof *scores);
+      memmove (&ranked[position + 1], &ranked[position], shifted * sizeof (MrMember *));
+      scores[position] = score;
+      ranked[position] = member;
+      count = MIN (count + 1, max);
     }
   return count;
 }
--- a/src/query.c
+++ b/src/query.c
@@ -6,44 +6,45 @@
 
 enum
 {
-  CANDIDATES = 2, /* owners tried for a cell before this daemon itself */
-  ATTEMPTS = CANDIDATES + 1,
+  CANDIDATES_MAX = 2, /* owners that are tried for a cell before this daemon */
+  ATTEMPTS_MAX = CANDIDATES_MAX + 1,
 };
 
-/* Kept back from the deadline for merging and the reply. */
-static const double RESERVE_SHARE = 0.05;
-static const MrTime RESERVE_MIN = 1 * MR_MS;
-static const MrTime RESERVE_MAX = 20 * MR_MS;
-/* Kept back from an owner's time for its partial's way back: at least the round
- * trip, and a share of the time for daemons that get the processor late; a partial
- * that misses the root's end is a whole cell lost. */
-static const MrTime HOP_MIN = 2 * MR_MS;
-static const double HOP_SHARE = 0.02;
-/* An owner that says nothing at all for this share of the time is passed over.
- */
-static const double PATIENCE_SHARE = 0.2;
-static const MrTime PATIENCE_MIN = 10 * MR_MS;
-static const MrTime PATIENCE_MAX = 200 * MR_MS;
+/* Time before the deadline that is reserved for merging and sending the reply, as a share of the
+ * query's total time, and its limits. */
+static const double REPLY_RESERVE_SHARE = 0.05;
+static const MrTime REPLY_RESERVE_MIN = 1 * MR_MS;
+static const MrTime REPLY_RESERVE_MAX = 20 * MR_MS;
+/* Time that is reserved for the partial of a remote owner to reach the root: at least a network
+ * round trip, and a share of the total time, since a busy VM may schedule the daemon late.  A
+ * partial that arrives after the root has answered loses the results of a whole cell. */
+static const MrTime RETURN_RESERVE_MIN = 2 * MR_MS;
+static const double RETURN_RESERVE_SHARE = 0.02;
+/* An owner from which no message arrives for this share of the total time, within the limits, is
+ * replaced by the next candidate. */
+static const double OWNER_TIMEOUT_SHARE = 0.2;
+static const MrTime OWNER_TIMEOUT_MIN = 10 * MR_MS;
+static const MrTime OWNER_TIMEOUT_MAX = 200 * MR_MS;
 
 typedef struct
 {
   guint64 batch_id;
-  char owner[MR_NAME_MAX + 1]; /* empty: this daemon */
+  char owner[MR_NAME_MAX + 1]; /* empty for this daemon */
   MrTime sent_at;
   gboolean open;
 } Attempt;
 
-/* One cell. */
+/* The state of one cell of the map. */
 typedef struct
 {
-  guint first; /* shard */
+  guint first; /* index of its first shard */
   guint count;
   guint candidate_count;
-  MrMember candidates[CANDIDATES];
+  MrMember candidates[CANDIDATES_MAX];
   guint attempt_count;
-  Attempt attempts[ATTEMPTS];
+  Attempt attempts[ATTEMPTS_MAX];
   gboolean ended;
-} Part;
+} Cell;
 
 struct _MrQuery
 {
@@ -54,48 +55,48 @@
   guint top_k;
   MrBatchPolicy policy;
   char self[MR_NAME_MAX + 1];
-  MrTime finish_by; /* deadline less the reserve */
-  MrTime hop;
-  MrTime patience;
+  MrTime finish_by; /* deadline minus the reply reserve */
+  MrTime return_reserve;
+  MrTime owner_timeout;
   MrMerge *merge;
-  guint part_count;
-  Part *parts;
-  guint open_parts;
+  guint cell_count;
+  Cell *cells;
+  guint open_cells;
   gboolean ended;
-  guint calls;
-  guint extra;
-  guint refused;    /* partials that were refusals */
-  gboolean late;    /* of these, for the deadline */
-  gboolean may_ran; /* a target may have been asked */
+  guint call_count;
+  guint extra_calls;
+  guint refused_partials;    /* partials that were refusals */
+  gboolean deadline_refused; /* a partial was refused because the deadline had passed */
+  gboolean may_have_run;     /* a call may have been sent to a target */
   gint64 retry_after_ms;
 };
 
 static MrTime
-S_reserve (MrTime span)
+S_reply_reserve (MrTime span)
 {
-  MrTime reserve = (MrTime) (RESERVE_SHARE * (double) span);
-  return CLAMP (reserve, RESERVE_MIN, RESERVE_MAX);
+  MrTime reserve = (MrTime) (REPLY_RESERVE_SHARE * (double) span);
+  return CLAMP (reserve, REPLY_RESERVE_MIN, REPLY_RESERVE_MAX);
 }
 
 static void
-S_plan_part (MrQuery *q, const MrQueryInfo *info, guint cell)
+S_plan_cell (MrQuery *q, const MrQueryInfo *info, guint index)
 {
-  Part *part = &q->parts[cell];
+  Cell *cell = &q->cells[index];
   guint cell_shards = (guint) info->document->cell_shards;
-  part->first = cell * cell_shards;
-  part->count = MIN (cell_shards, q->map->shard_count - part->first);
+  cell->first = index * cell_shards;
+  cell->count = MIN (cell_shards, q->map->shard_count - cell->first);
   if (info->document->direct)
-    return; /* no candidates: this daemon itself */
+    return; /* without candidates, this daemon executes the calls itself */
   const MrMember *ranked[64];
-  guint owners = CLAMP ((guint) info->document->owners_per_cell, 1, 64 - CANDIDATES);
-  guint found = mr_owner_rank (info->members, info->map, cell, cell_shards, info->excluded_owners,
-                               ranked, owners + CANDIDATES - 1);
-  /* Of several owners a root uses its own rank among them, so that roots
-   * spread over the owners without asking each other. */
-  guint shift = owners > 1 ? g_str_hash (info->self) % owners : 0;
-  for (guint i = 0; i < MIN (found, (guint) CANDIDATES); i++)
-    part->candidates[i] = *ranked[(i + shift) % found];
-  part->candidate_count = MIN (found, (guint) CANDIDATES);
+  guint owners = CLAMP ((guint) info->document->owners_per_cell, 1, 64 - CANDIDATES_MAX);
+  guint found = mr_owner_rank (info->members, info->map, index, cell_shards, info->excluded_owners,
+                               ranked, owners + CANDIDATES_MAX - 1);
+  /* If a cell has several owners, a hash of the root's name selects one of them, so that the roots
+   * spread over the owners without coordination. */
+  guint offset = owners > 1 ? g_str_hash (info->self) % owners : 0;
+  for (guint i = 0; i < MIN (found, (guint) CANDIDATES_MAX); i++)
+    cell->candidates[i] = *ranked[(i + offset) % found];
+  cell->candidate_count = MIN (found, (guint) CANDIDATES_MAX);
 }
 
 MrQuery *
@@ -115,16 +116,16 @@
     .owner_count = info->document->direct ? 1 : (guint) info->document->owners_per_cell,
   };
   g_strlcpy (q->self, info->self, sizeof q->self);
-  q->finish_by = info->deadline - S_reserve (span);
-  q->hop = MAX (HOP_MIN, (MrTime) (HOP_SHARE * (double) span));
-  MrTime patience = (MrTime) (PATIENCE_SHARE * (double) span);
-  q->patience = CLAMP (patience, PATIENCE_MIN, PATIENCE_MAX);
+  q->finish_by = info->deadline - S_reply_reserve (span);
+  q->return_reserve = MAX (RETURN_RESERVE_MIN, (MrTime) (RETURN_RESERVE_SHARE * (double) span));
+  MrTime owner_timeout = (MrTime) (OWNER_TIMEOUT_SHARE * (double) span);
+  q->owner_timeout = CLAMP (owner_timeout, OWNER_TIMEOUT_MIN, OWNER_TIMEOUT_MAX);
   q->merge = mr_merge_new (q->map, q->top_k);
-  q->part_count = mr_shard_map_cell_count (q->map, (guint) info->document->cell_shards);
-  q->parts = g_new0 (Part, q->part_count);
-  q->open_parts = q->part_count;
-  for (guint i = 0; i < q->part_count; i++)
-    S_plan_part (q, info, i);
+  q->cell_count = mr_shard_map_cell_count (q->map, (guint) info->document->cell_shards);
+  q->cells = g_new0 (Cell, q->cell_count);
+  q->open_cells = q->cell_count;
+  for (guint i = 0; i < q->cell_count; i++)
+    S_plan_cell (q, info, i);
   return q;
 }
 
@@ -136,54 +137,54 @@
   mr_merge_free (q->merge);
   mr_shard_map_unref (q->map);
   g_string_free (q->text, TRUE);
-  g_free (q->parts);
+  g_free (q->cells);
   g_free (q);
 }
 
 static MrBatch *
-S_make_batch (MrQuery *q, const Part *part, gboolean remote)
+S_make_batch (MrQuery *q, const Cell *cell, gboolean remote)
 {
   guint count = 0;
-  MrBatch *batch = mr_batch_new (q->host->next_batch_id (q->host), q->map, part->count);
-  for (guint i = 0; i < part->count; i++)
-    if (!mr_merge_covers (q->merge, part->first + i))
-      batch->shards[count++] = part->first + i;
+  MrBatch *batch = mr_batch_new (q->host->next_batch_id (q->host), q->map, cell->count);
+  for (guint i = 0; i < cell->count; i++)
+    if (!mr_merge_covers (q->merge, cell->first + i))
+      batch->shards[count++] = cell->first + i;
   batch->shard_count = count;
   batch->traffic_class = q->traffic_class;
   batch->top_k = q->top_k;
   batch->policy = q->policy;
-  batch->deadline = remote ? q->finish_by - q->hop : q->finish_by;
+  batch->deadline = remote ? q->finish_by - q->return_reserve : q->finish_by;
   g_string_append_len (batch->payload, q->text->str, (gssize) q->text->len);
   return batch;
 }
 
-/* Sends the part's missing shards to its next candidate, at last to this daemon
- * itself. */
+/* Sends the missing shards of @cell to its next candidate, or to this daemon if no candidate is
+ * left. */
 static void
-S_send_part (MrQuery *q, MrTime now, Part *part)
+S_send_cell (MrQuery *q, MrTime now, Cell *cell)
 {
   const MrMember *owner = NULL;
-  if (part->attempt_count < part->candidate_count)
-    owner = &part->candidates[part->attempt_count];
+  if (cell->attempt_count < cell->candidate_count)
+    owner = &cell->candidates[cell->attempt_count];
   if (owner && g_str_equal (owner->name, q->self))
     owner = NULL;
-  Attempt *attempt = &part->attempts[part->attempt_count++];
-  MrBatch *batch = S_make_batch (q, part, owner != NULL);
+  Attempt *attempt = &cell->attempts[cell->attempt_count++];
+  MrBatch *batch = S_make_batch (q, cell, owner != NULL);
   *attempt = (Attempt){ .batch_id = batch->id, .sent_at = now, .open = TRUE };
   if (owner)
     g_strlcpy (attempt->owner, owner->name, sizeof attempt->owner);
   q->host->send_batch (q->host, q, owner, batch);
 }
 
-/* TRUE if another candidate, or this daemon itself, has not been tried. */
+/* Returns TRUE if another candidate or this daemon has not been tried yet. */
 static gboolean
-S_can_retry (const MrQuery *q, const Part *part)
+S_has_untried_owner (const MrQuery *q, const Cell *cell)
 {
-  if (part->attempt_count == 0 || part->attempt_count > part->candidate_count)
+  if (cell->attempt_count == 0 || cell->attempt_count > cell->candidate_count)
     return FALSE;
-  for (guint i = 0; i < part->attempt_count; i++)
-    if (part->attempts[i].owner[0] == '\0')
-      return FALSE; /* this daemon was the last resort */
+  for (guint i = 0; i < cell->attempt_count; i++)
+    if (cell->attempts[i].owner[0] == '\0')
+      return FALSE; /* this daemon is always the last attempt */
   (void) q;
   return TRUE;
 }
@@ -191,105 +192,106 @@
 void
 mr_query_start (MrQuery *q, MrTime now)
 {
-  for (guint i = 0; i < q->part_count; i++)
-    S_send_part (q, now, &q->parts[i]);
+  for (guint i = 0; i < q->cell_count; i++)
+    S_send_cell (q, now, &q->cells[i]);
 }
 
 static void
-S_end_part (MrQuery *q, Part *part)
+S_end_cell (MrQuery *q, Cell *cell)
 {
-  if (part->ended)
+  if (cell->ended)
     return;
-  part->ended = TRUE;
-  if (--q->open_parts == 0)
+  cell->ended = TRUE;
+  if (--q->open_cells == 0)
     q->ended = TRUE;
 }
 
 static gboolean
-S_part_covered (const MrQuery *q, const Part *part)
+S_cell_is_covered (const MrQuery *q, const Cell *cell)
 {
-  for (guint i = 0; i < part->count; i++)
-    if (!mr_merge_covers (q->merge, part->first + i))
+  for (guint i = 0; i < cell->count; i++)
+    if (!mr_merge_covers (q->merge, cell->first + i))
       return FALSE;
   return TRUE;
 }
 
 static gboolean
-S_part_waits (const Part *part)
+S_cell_has_open_attempt (const Cell *cell)
 {
-  for (guint i = 0; i < part->attempt_count; i++)
-    if (part->attempts[i].open)
+  for (guint i = 0; i < cell->attempt_count; i++)
+    if (cell->attempts[i].open)
       return TRUE;
   return FALSE;
 }
 
 static Attempt *
-S_find_attempt (MrQuery *q, guint64 batch_id, Part **part)
+S_find_attempt (MrQuery *q, guint64 batch_id, Cell **cell)
 {
-  for (guint i = 0; i < q->part_count; i++)
-    for (guint a = 0; a < q->parts[i].attempt_count; a++)
-      if (q->parts[i].attempts[a].batch_id == batch_id)
+  for (guint i = 0; i < q->cell_count; i++)
+    for (guint a = 0; a < q->cells[i].attempt_count; a++)
+      if (q->cells[i].attempts[a].batch_id == batch_id)
         {
-          *part = &q->parts[i];
-          return &q->parts[i].attempts[a];
+          *cell = &q->cells[i];
+          return &q->cells[i].attempts[a];
         }
   return NULL;
 }
 
 static void
-S_note_partial (MrQuery *q, const MrPartial *partial)
+S_count_partial (MrQuery *q, const MrPartial *partial)
 {
-  q->calls += partial->call_count;
-  q->extra += partial->extra_calls;
-  q->may_ran = q->may_ran || partial->call_count > 0;
+  q->call_count += partial->call_count;
+  q->extra_calls += partial->extra_calls;
+  q->may_have_run = q->may_have_run || partial->call_count > 0;
   if (partial->kind != MR_PARTIAL_REFUSED && partial->kind != MR_PARTIAL_DEADLINE)
     return;
-  q->refused++;
-  q->late = q->late || partial->kind == MR_PARTIAL_DEADLINE;
+  q->refused_partials++;
+  q->deadline_refused = q->deadline_refused || partial->kind == MR_PARTIAL_DEADLINE;
   q->retry_after_ms = MAX (q->retry_after_ms, partial->retry_after_ms);
 }
 
 void
 mr_query_add_partial (MrQuery *q, MrTime now, MrPartial *partial)
 {
-  Part *part = NULL;
-  Attempt *attempt = S_find_attempt (q, partial->batch_id, &part);
+  Cell *cell = NULL;
+  Attempt *attempt = S_find_attempt (q, partial->batch_id, &cell);
   if (!attempt || !attempt->open || q->ended || partial->kind == MR_PARTIAL_IN_PROGRESS)
     {
       mr_partial_free (partial);
       return;
     }
   attempt->open = FALSE;
-  S_note_partial (q, partial);
+  S_count_partial (q, partial);
   gboolean no_map = partial->kind == MR_PARTIAL_NO_MAP;
   mr_merge_add_partial (q->merge, partial);
   mr_partial_free (partial);
-  gboolean covered = S_part_covered (q, part);
-  if (!covered && no_map && S_can_retry (q, part))
-    S_send_part (q, now, part);
-  else if (covered || !S_part_waits (part))
-    S_end_part (q, part);
+  gboolean covered = S_cell_is_covered (q, cell);
+  if (!covered && no_map && S_has_untried_owner (q, cell))
+    S_send_cell (q, now, cell);
+  else if (covered || !S_cell_has_open_attempt (cell))
+    S_end_cell (q, cell);
 }
 
-/* An owner that died or was cut off answers nothing; waiting for it until the
- * deadline would cost its whole cell.  Any word from it since the batch was
- * sent shows that it lives, so a busy owner is not doubled. */
+/* Sends the cell to another owner if nothing has been received from the current one for the owner
+ * timeout.  A dead or disconnected owner never answers; waiting for it until the deadline would
+ * lose the whole cell.  Any message that has arrived since the batch was sent proves that the owner
+ * is alive, so that the work of a busy owner is not repeated elsewhere. */
 static void
-S_check_part (MrQuery *q, MrTime now, Part *part, MrTime *next)
+S_check_owner (MrQuery *q, MrTime now, Cell *cell, MrTime *next)
 {
-  Attempt *last = &part->attempts[part->attempt_count - 1];
-  if (!last->open || last->owner[0] == '\0' || !S_can_retry (q, part))
+  Attempt *last = &cell->attempts[cell->attempt_count - 1];
+  if (!last->open || last->owner[0] == '\0' || !S_has_untried_owner (q, cell))
     return;
-  MrTime heard = q->host->last_heard (q->host, last->owner);
-  MrTime since = MAX (heard, last->sent_at);
-  if (now < since + q->patience)
+  MrTime last_heard = q->host->last_heard (q->host, last->owner);
+  MrTime since = MAX (last_heard, last->sent_at);
+  if (now < since + q->owner_timeout)
     {
-      *next = MIN (*next, since + q->patience);
+      *next = MIN (*next, since + q->owner_timeout);
       return;
     }
   q->host->owner_silent (q->host, last->owner);
-  q->may_ran = TRUE;
-  S_send_part (q, now, part);
+  q->may_have_run = TRUE;
+  S_send_cell (q, now, cell);
 }
 
 MrTime
@@ -303,9 +305,9 @@
       return MR_NEVER;
     }
   MrTime next = q->finish_by;
-  for (guint i = 0; i < q->part_count; i++)
-    if (!q->parts[i].ended)
-      S_check_part (q, now, &q->parts[i], &next);
+  for (guint i = 0; i < q->cell_count; i++)
+    if (!q->cells[i].ended)
+      S_check_owner (q, now, &q->cells[i], &next);
   return next;
 }
 
@@ -315,17 +317,17 @@
   return q->ended;
 }
 
-/* "Not run" only if every part was refused before anything was sent: an owner
- * that has not answered may have asked its targets already. */
+/* A search counts as not run only if every cell was refused before any call was sent: an owner that
+ * has not answered may already have sent calls to its targets. */
 static gboolean
-S_not_run (const MrQuery *q)
+S_is_not_run (const MrQuery *q)
 {
-  if (q->may_ran && MR_SAFEGUARD (MR_GUARD_NOT_RUN))
+  if (q->may_have_run && MR_SAFEGUARD (MR_GUARD_NOT_RUN))
     return FALSE;
-  for (guint i = 0; i < q->part_count && MR_SAFEGUARD (MR_GUARD_NOT_RUN); i++)
-    if (S_part_waits (&q->parts[i]))
+  for (guint i = 0; i < q->cell_count && MR_SAFEGUARD (MR_GUARD_NOT_RUN); i++)
+    if (S_cell_has_open_attempt (&q->cells[i]))
       return FALSE;
-  return q->refused > 0 && mr_merge_covered_count (q->merge) == 0;
+  return q->refused_partials > 0 && mr_merge_covered_count (q->merge) == 0;
 }
 
 MrQueryAnswer
@@ -336,15 +338,15 @@
     .covered_weight = mr_merge_covered_weight (q->merge),
     .total_weight = q->map->total_weight,
     .covered_shard_count = mr_merge_covered_count (q->merge),
-    .call_count = q->calls,
-    .extra_calls = q->extra,
+    .call_count = q->call_count,
+    .extra_calls = q->extra_calls,
   };
-  /* Coverage says what was read: an answer that counted what was asked would
-   * present a partial catalogue as whole when shards stay silent. */
+  /* Coverage counts the shards that were read.  If it counted the shards that were queried, an
+   * answer with unresponsive shards would present a partial result as complete. */
   if (!MR_SAFEGUARD (MR_GUARD_COVERAGE))
     answer.covered_weight = answer.total_weight;
-  if (S_not_run (q))
-    answer.result = q->late ? MR_RESULT_DEADLINE : MR_RESULT_OVERLOADED;
+  if (S_is_not_run (q))
+    answer.result = q->deadline_refused ? MR_RESULT_DEADLINE : MR_RESULT_OVERLOADED;
   else if (answer.covered_weight == answer.total_weight)
     answer.result = MR_RESULT_COMPLETE;
   else
@@ -369,8 +371,8 @@
                              void (*visit) (guint64 batch, const char *owner, void *user),
                              void *user)
 {
-  for (guint i = 0; i < q->part_count; i++)
-    for (guint a = 0; a < q->parts[i].attempt_count; a++)
-      if (q->parts[i].attempts[a].open)
-        visit (q->parts[i].attempts[a].batch_id, q->parts[i].attempts[a].owner, user);
+  for (guint i = 0; i < q->cell_count; i++)
+    for (guint a = 0; a < q->cells[i].attempt_count; a++)
+      if (q->cells[i].attempts[a].open)
+        visit (q->cells[i].attempts[a].batch_id, q->cells[i].attempts[a].owner, user);
 }
--- a/src/query.h
+++ b/src/query.h
@@ -1,8 +1,8 @@
-/* Root's side of a search: one snapshot, one deadline, one merged answer.
+/* The root's side of a search: one snapshot, one deadline, one merged answer.
  *
- * Pure decisions.  The root cuts the pinned map into cells, sends each cell's
- * shards to an owner (itself or a peer), merges the partial answers and states
- * the coverage of what it merged. */
+ * The root divides the pinned shard map into cells, sends the shards of each cell to an owner (this
+ * daemon or a peer), merges the partial answers, and reports which shards the result covers.  The
+ * code does no I/O: time is passed as an argument, and batches are sent through a vtable. */
 #pragma once
 
 #include "batch.h"
@@ -13,16 +13,17 @@
 typedef struct _MrQuery MrQuery;
 typedef struct _MrQueryHost MrQueryHost;
 
-/* Vtable; first member of the task that holds queries. */
+/* Vtable; first member of the structure that holds the queries. */
 struct _MrQueryHost
 {
-  /* Takes @batch. @owner: borrowed; NULL for this daemon itself. */
+  /* Takes ownership of @batch.  @owner is borrowed; NULL stands for this daemon. */
   void (*send_batch) (MrQueryHost *host, MrQuery *query, const MrMember *owner, MrBatch *batch);
-  /* Ids of batches are unique within the incarnation. */
+  /* Returns a batch id that is unique within the incarnation. */
   guint64 (*next_batch_id) (MrQueryHost *host);
-  /* Time of the last message of any kind from @owner. */
+  /* Returns the time of the last message of any kind from @owner, or 0. */
   MrTime (*last_heard) (MrQueryHost *host, const char *owner);
-  /* @owner stayed silent: hand it nothing until it is heard from. */
+  /* Nothing was received from @owner within its timeout: the host excludes it from new queries
+   * for a while, or until a message from it arrives. */
   void (*owner_silent) (MrQueryHost *host, const char *owner);
 };
 
@@ -32,7 +33,7 @@
   MrMemberList *members;
   const MrDocument *document;
   const char *self;                   /* this daemon's name */
-  const char *const *excluded_owners; /* owners to pass over, NULL-terminated */
+  const char *const *excluded_owners; /* NULL-terminated */
   MrTrafficClass traffic_class;
   MrText text;
   guint top_k;
@@ -53,23 +54,23 @@
 MrQuery *mr_query_new (MrQueryHost *host, const MrQueryInfo *info, MrTime now);
 void mr_query_free (MrQuery *query);
 
-/* Sends the batches. */
+/* Sends a batch for each cell. */
 void mr_query_start (MrQuery *query, MrTime now);
 
-/* Takes @partial; one of an unknown batch is passed over. */
+/* Takes ownership of @partial.  Partials of unknown batches are ignored. */
 void mr_query_add_partial (MrQuery *query, MrTime now, MrPartial *partial);
 
-/* Carries out what is due; returns when to come back. */
+/* Checks all timeouts.  Returns the time of the next call, or MR_NEVER once the query has ended. */
 MrTime mr_query_tick (MrQuery *query, MrTime now);
 
 gboolean mr_query_ended (const MrQuery *query);
 
-/* Of an ended query. */
+/* The answer of a query that has ended. */
 MrQueryAnswer mr_query_answer (const MrQuery *query);
 const MrMerge *mr_query_merge (const MrQuery *query);
 const MrShardMap *mr_query_map (const MrQuery *query);
 
-/* Calls @visit with each batch that was sent and not answered. */
+/* Calls @visit for each batch that has not been answered.  @owner is empty for this daemon. */
 void mr_query_foreach_open_batch (const MrQuery *query,
                                   void (*visit) (guint64 batch, const char *owner, void *user),
                                   void *user);
--- a/src/searches.c
+++ b/src/searches.c
@@ -6,31 +6,31 @@
 #include "task_message.h"
 #include "wire.h"
 
-/* A silent owner is tried again after this, if nothing was heard before. */
-static const MrTime AVOID = 2 * MR_SECOND;
+/* How long an unresponsive owner gets no batches, unless a message from it arrives earlier. */
+static const MrTime OWNER_EXCLUSION_TIME = 2 * MR_SECOND;
 
 typedef struct
 {
   MrQuery *query;
   guint64 http_id;
-  MrTime received;
+  MrTime received_at;
   MrTrafficClass traffic_class;
   char *request_id;
   char service[MR_NAME_MAX + 1];
-  MrTime objective; /* latency, us */
-  guint blame;
+  MrTime latency_objective; /* from the service's document */
+  guint straggler;          /* map index of the target that delayed the search, if any */
 } Search;
 
 struct _MrSearches
 {
   MrQueryHost host;
   MrEntryContext *context;
-  GHashTable *searches; /* set of Search */
-  GHashTable *by_batch; /* batch id -> Search */
-  GHashTable *by_http;  /* http id -> Search */
-  GHashTable *heard;    /* owner -> MrTime* */
-  GHashTable *avoided;  /* owner -> MrTime*, until */
-  Search *sending;      /* whose batches are being sent */
+  GHashTable *searches;        /* set of Search */
+  GHashTable *by_batch;        /* batch id -> Search */
+  GHashTable *by_http;         /* http id -> Search */
+  GHashTable *last_heard;      /* owner -> MrTime* */
+  GHashTable *excluded_owners; /* owner -> MrTime*, end of the exclusion */
+  Search *sending_search;      /* search whose batches are being sent */
 };
 
 static void
@@ -43,55 +43,56 @@
 }
 
 static gint64 *
-S_number (guint64 value)
+S_dup_int64 (guint64 value)
 {
   gint64 *copy = g_new (gint64, 1);
   *copy = (gint64) value;
   return copy;
 }
 
-/* Host of the query. */
+/* Functions of MrQueryHost. */
 
 static guint64
-S_next_id (MrQueryHost *host)
+S_next_batch_id (MrQueryHost *host)
 {
   return ++((MrSearches *) host)->context->last_batch_id;
 }
 
 static void
-S_send (MrQueryHost *host, MrQuery *query, const MrMember *owner, MrBatch *batch)
+S_send_batch (MrQueryHost *host, MrQuery *query, const MrMember *owner, MrBatch *batch)
 {
   MrSearches *searches = (MrSearches *) host;
   MrEntryContext *context = searches->context;
   (void) query;
-  g_hash_table_insert (searches->by_batch, S_number (batch->id), searches->sending);
+  g_hash_table_insert (searches->by_batch, S_dup_int64 (batch->id), searches->sending_search);
   if (!owner)
     {
       mr_entry_submit_batch (context, batch);
       return;
     }
-  gint64 left = MAX (batch->deadline - mr_now (), 0);
+  gint64 remaining_us = MAX (batch->deadline - mr_now (), 0);
   mr_entry_send_to_member (
       context, owner->name,
-      mr_wire_batch (context->settings->name, context->incarnation, batch, left));
+      mr_wire_batch (context->settings->name, context->incarnation, batch, remaining_us));
   mr_batch_free (batch);
 }
 
 static MrTime
 S_last_heard (MrQueryHost *host, const char *owner)
 {
-  MrTime *heard = g_hash_table_lookup (((MrSearches *) host)->heard, owner);
-  return heard ? *heard : 0;
+  MrTime *last_heard = g_hash_table_lookup (((MrSearches *) host)->last_heard, owner);
+  return last_heard ? *last_heard : 0;
 }
 
 static void
 S_owner_silent (MrQueryHost *host, const char *owner)
 {
   MrSearches *searches = (MrSearches *) host;
-  g_hash_table_replace (searches->avoided, g_strdup (owner),
-                        S_number ((guint64) (mr_now () + AVOID)));
+  g_hash_table_replace (searches->excluded_owners, g_strdup (owner),
+                        S_dup_int64 ((guint64) (mr_now () + OWNER_EXCLUSION_TIME)));
   mr_metrics_add (MR_METRIC_OWNER_SILENT, 1);
-  mr_log (MR_LOG_NOTICE, MR_EVENT_OWNER_SILENT, "owner %s is silent and passed over", owner);
+  mr_log (MR_LOG_NOTICE, MR_EVENT_OWNER_SILENT, "owner %s does not respond; using other owners",
+          owner);
 }
 
 MrSearches *
@@ -99,8 +100,8 @@
 {
   MrSearches *searches = g_new0 (MrSearches, 1);
   searches->host = (MrQueryHost){
-    .send_batch = S_send,
-    .next_batch_id = S_next_id,
+    .send_batch = S_send_batch,
+    .next_batch_id = S_next_batch_id,
     .last_heard = S_last_heard,
     .owner_silent = S_owner_silent,
   };
@@ -108,8 +109,8 @@
   searches->searches = g_hash_table_new_full (NULL, NULL, S_search_free, NULL);
   searches->by_batch = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   searches->by_http = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, NULL);
-  searches->heard = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  searches->avoided = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  searches->last_heard = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  searches->excluded_owners = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   return searches;
 }
 
@@ -121,8 +122,8 @@
   g_hash_table_unref (searches->by_batch);
   g_hash_table_unref (searches->by_http);
   g_hash_table_unref (searches->searches);
-  g_hash_table_unref (searches->heard);
-  g_hash_table_unref (searches->avoided);
+  g_hash_table_unref (searches->last_heard);
+  g_hash_table_unref (searches->excluded_owners);
   g_free (searches);
 }
 
@@ -192,25 +193,28 @@
   S_append_hits (out, search->query);
   g_string_append_printf (out, ",\"calls\":%u,\"extra_calls\":%u,\"elapsed_ms\":%.3f}\n",
                           answer->call_count, answer->extra_calls,
-                          (double) (now - search->received) / MR_MS);
+                          (double) (now - search->received_at) / MR_MS);
   return out;
 }
 
 static void
-S_count (MrSearches *searches, const Search *search, const MrQueryAnswer *answer, MrTime now)
+S_record_outcome (MrSearches *searches,
+                  const Search *search,
+                  const MrQueryAnswer *answer,
+                  MrTime now)
 {
   MrEntryContext *context = searches->context;
   const MrShardMap *map = mr_query_map (search->query);
   gboolean refused = mr_result_ran (answer->result) == MR_RAN_NO;
   MrBurnEvent event = {
     .refused = refused,
-    .slow = !refused && now - search->received > search->objective,
+    .slow = !refused && now - search->received_at > search->latency_objective,
     .uncovered = answer->result == MR_RESULT_PARTIAL,
   };
-  if (search->blame < map->target_count)
+  if (search->straggler < map->target_count)
     {
-      event.target = map->targets[search->blame].id;
-      event.domain = map->targets[search->blame].domain;
+      event.target = map->targets[search->straggler].id;
+      event.domain = map->targets[search->straggler].domain;
     }
   mr_burn_add (context->burn, now, search->service, &event);
   if (refused)
@@ -219,15 +223,15 @@
       return;
     }
   context->window_served++;
-  mr_histogram_add (&context->latency[search->traffic_class], now - search->received);
+  mr_histogram_add (&context->latency[search->traffic_class], now - search->received_at);
   mr_metrics_add (answer->result == MR_RESULT_COMPLETE ? MR_METRIC_SEARCHES_COMPLETE
                                                        : MR_METRIC_SEARCHES_PARTIAL,
                   1);
 }
 
-/* Work on a batch that is no longer wanted would keep slots busy. */
+/* Cancels a batch whose result is no longer needed, which would otherwise keep slots occupied. */
 static void
-S_forget_batch (guint64 batch, const char *owner, void *user)
+S_cancel_batch (guint64 batch, const char *owner, void *user)
 {
   MrSearches *searches = user;
   MrEntryContext *context = searches->context;
@@ -244,7 +248,7 @@
 static void
 S_remove (MrSearches *searches, Search *search)
 {
-  mr_query_foreach_open_batch (search->query, S_forget_batch, searches);
+  mr_query_foreach_open_batch (search->query, S_cancel_batch, searches);
   g_hash_table_remove (searches->by_http, &search->http_id);
   g_hash_table_remove (searches->searches, search);
 }
@@ -254,7 +258,7 @@
 {
   MrTime now = mr_now ();
   MrQueryAnswer answer = mr_query_answer (search->query);
-  S_count (searches, search, &answer, now);
+  S_record_outcome (searches, search, &answer, now);
   if (mr_result_ran (answer.result) == MR_RAN_NO)
     mr_entry_refuse (searches->context, search->http_id, answer.result, answer.retry_after_ms,
                      "the targets' queues are too long for this deadline");
@@ -271,15 +275,15 @@
   S_remove (searches, search);
 }
 
-/* Owners to pass over, as a NULL-terminated list of borrowed names. */
+/* Currently excluded owners, as a NULL-terminated array of borrowed names. */
 static const char **
-S_avoided (MrSearches *searches, MrTime now)
+S_excluded_owners (MrSearches *searches, MrTime now)
 {
   GPtrArray *names = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer key = NULL;
   gpointer until = NULL;
-  g_hash_table_iter_init (&iter, searches->avoided);
+  g_hash_table_iter_init (&iter, searches->excluded_owners);
   while (g_hash_table_iter_next (&iter, &key, &until))
     if (now >= *(MrTime *) until)
       g_hash_table_iter_remove (&iter);
@@ -293,13 +297,13 @@
 mr_searches_begin (MrSearches *searches, const MrEntryRequest *request, MrText text, guint top_k)
 {
   MrEntryContext *context = searches->context;
-  g_autofree const char **avoid = S_avoided (searches, request->received_at);
+  g_autofree const char **excluded = S_excluded_owners (searches, request->received_at);
   MrQueryInfo info = {
     .map = request->service->map,
     .members = context->view->members,
     .document = &request->service->document,
     .self = context->settings->name,
-    .excluded_owners = avoid,
+    .excluded_owners = excluded,
     .traffic_class = request->traffic_class,
     .text = text,
     .top_k = top_k,
@@ -309,19 +313,19 @@
   *search = (Search){
     .query = mr_query_new (&searches->host, &info, request->received_at),
     .http_id = request->http_id,
-    .received = request->received_at,
+    .received_at = request->received_at,
     .traffic_class = request->traffic_class,
     .request_id = g_strdup (request->request_id),
-    .objective = request->service->document.objective_latency_ms * MR_MS,
-    .blame = MR_NO_TARGET_INDEX,
+    .latency_objective = request->service->document.objective_latency_ms * MR_MS,
+    .straggler = MR_NO_TARGET_INDEX,
   };
   g_strlcpy (search->service, request->service->document.service, sizeof search->service);
   g_hash_table_add (searches->searches, search);
   g_hash_table_insert (searches->by_http, &search->http_id, search);
   mr_metrics_add (MR_METRIC_SEARCHES, 1);
-  searches->sending = search;
+  searches->sending_search = search;
   mr_query_start (search->query, request->received_at);
-  searches->sending = NULL;
+  searches->sending_search = NULL;
 }
 
 gboolean
@@ -330,8 +334,8 @@
   MrTime now = mr_now ();
   if (from[0] != '\0')
     {
-      g_hash_table_replace (searches->heard, g_strdup (from), S_number ((guint64) now));
-      g_hash_table_remove (searches->avoided, from);
+      g_hash_table_replace (searches->last_heard, g_strdup (from), S_dup_int64 ((guint64) now));
+      g_hash_table_remove (searches->excluded_owners, from);
     }
   guint64 id = partial->batch_id;
   Search *search = g_hash_table_lookup (searches->by_batch, &id);
@@ -344,10 +348,10 @@
     }
   g_hash_table_remove (searches->by_batch, &id);
   if (partial->straggler != MR_NO_TARGET_INDEX)
-    search->blame = partial->straggler;
-  searches->sending = search;
+    search->straggler = partial->straggler;
+  searches->sending_search = search;
   mr_query_add_partial (search->query, now, partial);
-  searches->sending = NULL;
+  searches->sending_search = NULL;
   if (mr_query_ended (search->query))
     S_finish (searches, search);
   return TRUE;
@@ -372,14 +376,14 @@
   while (g_hash_table_iter_next (&iter, &item, NULL))
     {
       Search *search = item;
-      searches->sending = search;
+      searches->sending_search = search;
       MrTime again = mr_query_tick (search->query, now);
       if (mr_query_ended (search->query))
         g_ptr_array_add (ended, search);
       else
         next = MIN (next, again);
     }
-  searches->sending = NULL;
+  searches->sending_search = NULL;
   for (guint i = 0; i < ended->len; i++)
     S_finish (searches, g_ptr_array_index (ended, i));
   return next;
--- a/src/searches.h
+++ b/src/searches.h
@@ -1,5 +1,5 @@
-/* The searches that this daemon is root of: from an admitted request to the
- * reply (query.c decides). */
+/* The searches whose root is this daemon, from the admitted request to the HTTP reply.  query.c
+ * makes the decisions; this module does the I/O. */
 #pragma once
 
 #include "entry_context.h"
@@ -12,11 +12,11 @@
 void
 mr_searches_begin (MrSearches *searches, const MrEntryRequest *request, MrText text, guint top_k);
 
-/* A partial from @from ("" for this daemon); FALSE, and not taken, if it
- * belongs to no search. */
+/* Adds a partial from the owner @from, which is "" for this daemon.  Returns FALSE, and does not
+ * take ownership of @partial, if it belongs to no open search. */
 gboolean mr_searches_add_partial (MrSearches *searches, MrPartial *partial, const char *from);
 
-/* The caller of @http_id has gone. */
+/* Cancels the search whose caller has disconnected. */
 void mr_searches_cancel (MrSearches *searches, guint64 http_id);
 MrTime mr_searches_tick (MrSearches *searches, MrTime now);
 guint mr_searches_count (const MrSearches *searches);
--- a/src/shardmap.c
+++ b/src/shardmap.c
@@ -11,9 +11,9 @@
 
 typedef struct
 {
-  MrShardMap map; /* first, so that a map is cast to its holder */
-  atomic_int references;
-} Holder;
+  MrShardMap map; /* first, so that a map can be cast to its SharedMap */
+  atomic_int reference_count;
+} SharedMap;
 
 static MrStatus
 S_copy_name (const json_t *object, const char *key, char *out, size_t size)
@@ -27,15 +27,15 @@
 }
 
 static MrStatus
-S_read_count (const json_t *object, const char *key, gint64 fallback, gint64 most, gint64 *out)
+S_read_count (const json_t *object, const char *key, gint64 default_value, gint64 max, gint64 *out)
 {
   const json_t *value = json_object_get (object, key);
-  *out = value ? json_integer_value (value) : fallback;
-  if ((value && !json_is_integer (value)) || *out < 1 || *out > most)
+  *out = value ? json_integer_value (value) : default_value;
+  if ((value && !json_is_integer (value)) || *out < 1 || *out > max)
     return mr_fail (MR_ERROR_INVALID,
                     "shard map: key '%s': expected a whole number from 1 to "
                     "%" G_GINT64_FORMAT,
-                    key, most);
+                    key, max);
   return MR_OK;
 }
 
@@ -70,11 +70,11 @@
       const char *id = json_string_value (json_array_get (list, i));
       gpointer index = NULL;
       if (!id || !g_hash_table_lookup_extended (targets, id, NULL, &index))
-        return mr_fail (MR_ERROR_INVALID, "shard map: shard '%s': replica '%s' is no target",
+        return mr_fail (MR_ERROR_INVALID, "shard map: shard '%s': replica '%s' is not a target",
                         shard->name, id ? id : "?");
       for (guint j = 0; j < shard->replica_count; j++)
         if (shard->replicas[j] == GPOINTER_TO_UINT (index))
-          return mr_fail (MR_ERROR_INVALID, "shard map: shard '%s': replica '%s' twice",
+          return mr_fail (MR_ERROR_INVALID, "shard map: shard '%s': duplicate replica '%s'",
                           shard->name, id);
       shard->replicas[shard->replica_count++] = GPOINTER_TO_UINT (index);
     }
@@ -82,19 +82,20 @@
 }
 
 static MrStatus
-S_read_targets (MrShardMap *map, const json_t *list, GHashTable *by_id)
+S_read_targets (MrShardMap *map, const json_t *list, GHashTable *targets_by_id)
 {
   size_t count = json_array_size (list);
   if (count < 1 || count > MR_TARGETS_MAX)
-    return mr_fail (MR_ERROR_INVALID, "shard map: key 'targets': expected 1 to %d", MR_TARGETS_MAX);
+    return mr_fail (MR_ERROR_INVALID, "shard map: key 'targets': expected 1 to %d targets",
+                    MR_TARGETS_MAX);
   map->targets = g_new0 (MrTarget, count);
   for (size_t i = 0; i < count; i++)
     {
       MrTarget *target = &map->targets[map->target_count++];
       if (S_read_target (json_array_get (list, i), target) != MR_OK)
         return MR_ERROR_INVALID;
-      if (!g_hash_table_insert (by_id, target->id, GUINT_TO_POINTER ((guint) i)))
-        return mr_fail (MR_ERROR_INVALID, "shard map: target '%s' twice", target->id);
+      if (!g_hash_table_insert (targets_by_id, target->id, GUINT_TO_POINTER ((guint) i)))
+        return mr_fail (MR_ERROR_INVALID, "shard map: duplicate target '%s'", target->id);
     }
   return MR_OK;
 }
@@ -104,7 +105,8 @@
 {
   size_t count = json_array_size (list);
   if (count < 1 || count > MR_SHARDS_MAX)
-    return mr_fail (MR_ERROR_INVALID, "shard map: key 'shards': expected 1 to %d", MR_SHARDS_MAX);
+    return mr_fail (MR_ERROR_INVALID, "shard map: key 'shards': expected 1 to %d shards",
+                    MR_SHARDS_MAX);
   map->shards = g_new0 (MrShard, count);
   g_autoptr (GHashTable) names = g_hash_table_new (g_str_hash, g_str_equal);
   for (size_t i = 0; i < count; i++)
@@ -117,7 +119,7 @@
           S_read_replicas (json_object_get (object, "replicas"), targets, shard) != MR_OK)
         return MR_ERROR_INVALID;
       if (!g_hash_table_add (names, shard->name))
-        return mr_fail (MR_ERROR_INVALID, "shard map: shard '%s' twice", shard->name);
+        return mr_fail (MR_ERROR_INVALID, "shard map: duplicate shard '%s'", shard->name);
       shard->weight = (guint64) weight;
       map->total_weight += shard->weight;
     }
@@ -135,17 +137,17 @@
                error.text);
       return NULL;
     }
-  Holder *holder = g_new0 (Holder, 1);
-  atomic_init (&holder->references, 1);
-  MrShardMap *map = &holder->map;
+  SharedMap *shared = g_new0 (SharedMap, 1);
+  atomic_init (&shared->reference_count, 1);
+  MrShardMap *map = &shared->map;
   map->generation = generation;
   g_snprintf (map->service, sizeof map->service, "%.*s", (int) name.len, name.data);
-  g_autoptr (GHashTable) by_id = g_hash_table_new (g_str_hash, g_str_equal);
+  g_autoptr (GHashTable) targets_by_id = g_hash_table_new (g_str_hash, g_str_equal);
   MrStatus status = S_copy_name (root, "snapshot", map->snapshot, sizeof map->snapshot);
   if (status == MR_OK)
-    status = S_read_targets (map, json_object_get (root, "targets"), by_id);
+    status = S_read_targets (map, json_object_get (root, "targets"), targets_by_id);
   if (status == MR_OK)
-    status = S_read_shards (map, json_object_get (root, "shards"), by_id);
+    status = S_read_shards (map, json_object_get (root, "shards"), targets_by_id);
   json_decref (root);
   if (status == MR_OK)
     return map;
@@ -156,14 +158,14 @@
 MrShardMap *
 mr_shard_map_ref (MrShardMap *map)
 {
-  atomic_fetch_add (&((Holder *) map)->references, 1);
+  atomic_fetch_add (&((SharedMap *) map)->reference_count, 1);
   return map;
 }
 
 void
 mr_shard_map_unref (MrShardMap *map)
 {
-  if (!map || atomic_fetch_sub (&((Holder *) map)->references, 1) > 1)
+  if (!map || atomic_fetch_sub (&((SharedMap *) map)->reference_count, 1) > 1)
     return;
   g_free (map->targets);
   g_free (map->shards);
--- a/src/shardmap.h
+++ b/src/shardmap.h
@@ -1,8 +1,8 @@
-/* Shard map of one service: the snapshot, its shards and who serves them.
+/* Shard map of one service: the snapshot, its shards, and the targets that serve them.
  *
- * Written by whoever builds the index, read by us.  One map names one
- * snapshot; the platform's version of the object is its generation.  Maps are
- * immutable and shared by reference count between tasks. */
+ * A shard map is written by the program that builds the index.  It describes one snapshot; its
+ * generation is the version of the object at the platform.  Maps are immutable, and tasks share
+ * them by reference counting. */
 #pragma once
 
 #include "document.h"
@@ -22,17 +22,17 @@
   char ip[46];
   int port;
   char domain[MR_NAME_MAX + 1];
-  guint slots;       /* calls it serves at once */
-  guint connections; /* connections it accepts in all */
-  guint64 started;   /* of the process that has the id now, Unix ms; 0: not told */
+  guint slots;       /* concurrent calls */
+  guint connections; /* connections that it accepts in total */
+  guint64 started;   /* start of its current process, Unix ms; 0: unknown */
 } MrTarget;
 
 typedef struct
 {
   char name[MR_NAME_MAX + 1];
-  guint64 weight; /* records, or any measure of its share of the data */
+  guint64 weight; /* number of records, or another measure of its share of the data */
   guint replica_count;
-  guint replicas[MR_REPLICAS_MAX]; /* indices into targets */
+  guint replicas[MR_REPLICAS_MAX]; /* indices into MrShardMap.targets */
 } MrShard;
 
 typedef struct
@@ -47,10 +47,11 @@
   MrShard *shards;
 } MrShardMap;
 
-/* NULL with a message on bad input. */
+/* Returns NULL and sets the error message if @body is invalid. */
 MrShardMap *mr_shard_map_parse (MrText name, guint64 generation, MrText body);
 MrShardMap *mr_shard_map_ref (MrShardMap *map);
 void mr_shard_map_unref (MrShardMap *map);
 
-/* Shards are cut into cells of @cell_shards consecutive ones. */
+/* Number of cells, each of which consists of @cell_shards consecutive shards (the last one may have
+ * fewer). */
 guint mr_shard_map_cell_count (const MrShardMap *map, guint cell_shards);
