--- a/src/entry_context.h
+++ b/src/entry_context.h
@@ -1,5 +1,5 @@
-/* What the parts of the entry task share; owned by the task, used from its
- * thread only. */
+/* State that is shared by the modules of the entry task.  It belongs to the task and is only used
+ * from its thread. */
 #pragma once
 
 #include "batch.h"
@@ -19,17 +19,17 @@
   MrHttpServer *server;
   MrMailbox *target_mailbox;
   MrMailbox *control_mailbox;
-  MrView *view; /* newest; NULL until the first */
+  MrView *view; /* latest; NULL until the first one arrives */
   MrBurn *burn;
   MrQuarantine *quarantine;
-  guint64 content_key; /* of fingerprints */
+  guint64 content_key; /* key of content fingerprints */
   MrHistogram latency[MR_TRAFFIC_CLASS_COUNT];
   guint64 last_batch_id;
-  guint window_refused; /* for overload, since the last look */
-  guint window_served;
+  guint window_refused; /* requests refused for overload since the last check of the load */
+  guint window_served;  /* requests served since then */
 } MrEntryContext;
 
-/* A caller's request as the filter chain leaves it. */
+/* A caller's request after it has passed the filter chain. */
 typedef struct
 {
   guint64 http_id;
@@ -37,21 +37,23 @@
   MrTime received_at;
   MrTime deadline;
   MrTrafficClass traffic_class;
-  const char *request_id; /* the caller's own; may be "" */
+  const char *request_id; /* set by the caller; may be empty */
 } MrEntryRequest;
 
-/* Answers with a refusal or an error: result, name, ran, message. */
+/* Replies with a refusal or an error.  The JSON body has the result, its name, whether the request
+ * ran, and
+ * @message. */
 void mr_entry_refuse (MrEntryContext *context,
                       guint64 http_id,
                       MrResult result,
                       gint64 retry_after_ms,
                       const char *message);
 
-/* Posts @batch to the target task, as this daemon's own. */
+/* Posts @batch to the target task with this daemon as its root.  Takes ownership of @batch. */
 void mr_entry_submit_batch (MrEntryContext *context, MrBatch *batch);
 
-/* Sends @bytes, which it takes, to the member @name. */
+/* Sends @bytes to the member @name.  Takes ownership of @bytes. */
 void mr_entry_send_to_member (MrEntryContext *context, const char *name, GString *bytes);
 
-/* Appends @text as a JSON string, quotes included. */
+/* Appends @text as a quoted JSON string. */
 void mr_json_append_string (GString *out, MrText text);
--- a/src/entry_task.c
+++ b/src/entry_task.c
@@ -16,48 +16,49 @@
   REQUEST_ID_MAX = 128,
   ADDRESSES_DEFAULT = 3,
   ADDRESSES_MAX = 16,
-  /* Share of refusals in a look, in percent, that marks this daemon busy. */
-  BUSY_PERCENT = 20,
-  CALM_PERCENT = 5,
+  /* This daemon marks itself busy if the refused share of the requests of an interval is above the
+   * first limit, and no longer busy if it is at or below the second. */
+  BUSY_START_PERCENT = 20,
+  BUSY_END_PERCENT = 5,
 };
 
-static const MrTime LOOK_GAP = 1 * MR_SECOND;
-/* Callers may have asked for addresses just before others heard of our leaving.
- */
-static const MrTime LEAVE_MARGIN = 1 * MR_SECOND;
-/* No request for this long, after the keep time: callers have moved on. */
-static const MrTime QUIET = 300 * MR_MS;
-/* A planned stop does not wait for callers longer than this past the keep time.
- */
-static const MrTime LEAVE_MAX = 30 * MR_SECOND;
+static const MrTime LOAD_CHECK_INTERVAL = 1 * MR_SECOND;
+/* Added to the keep time of a planned stop: callers may get this daemon's address until the other
+ * daemons have heard that it is leaving. */
+static const MrTime LEAVING_MARGIN = 1 * MR_SECOND;
+/* After the keep time, a period without requests that shows that callers have switched to other
+ * daemons. */
+static const MrTime IDLE_BEFORE_STOP = 300 * MR_MS;
+/* A planned stop waits for such a period for at most this long after the keep time. */
+static const MrTime STOP_DELAY_MAX = 30 * MR_SECOND;
 
 typedef enum
 {
   STAGE_SERVING,
-  STAGE_LEAVING,  /* not handed out any more; serves on */
-  STAGE_FINISHED, /* nothing in flight */
+  STAGE_LEAVING,  /* addresses are no longer given out; still serves requests */
+  STAGE_FINISHED, /* all requests are complete */
 } Stage;
 
 struct _MrEntryTask
 {
-  MrLoopHandler loop_host;
-  MrHttpHandler http_host;
+  MrLoopHandler loop_handler;
+  MrHttpHandler http_handler;
   MrEntryContext context;
   MrLoop *loop;
   MrSearches *searches;
   MrOrderHandler *orders;
   GRand *random;
   Stage stage;
-  MrTime leave_at;     /* end of the keep time */
-  MrTime requested_at; /* last request of a caller */
-  MrTime look_at;
+  MrTime stop_not_before; /* end of the keep time of a planned stop */
+  MrTime last_request_at; /* time of the last request of a caller */
+  MrTime next_load_check;
   gboolean busy;
   void (*stopped) (void *user);
   void *user;
 };
 
-#define TASK_OF_HTTP_HOST(host)                                                                    \
-  ((MrEntryTask *) (void *) ((char *) (host) -offsetof (MrEntryTask, http_host)))
+#define TASK_OF_HTTP_HANDLER(handler)                                                              \
+  ((MrEntryTask *) (void *) ((char *) (handler) -offsetof (MrEntryTask, http_handler)))
 
 static void
 S_reply_text (MrEntryTask *task, guint64 id, const char *type, GString *text)
@@ -67,7 +68,8 @@
   g_string_free (text, TRUE);
 }
 
-/* The filter chain for callers' requests: each step passes or has answered. */
+/* Filter chain for the requests of callers.  A filter returns TRUE to pass the request on, or
+ * replies itself and returns FALSE. */
 
 typedef struct
 {
@@ -118,16 +120,16 @@
 }
 
 static gboolean
-S_number_arg (Chain *chain, const char *name, gint64 fallback, gint64 most, gint64 *out)
+S_parse_int_arg (Chain *chain, const char *name, gint64 default_value, gint64 max, gint64 *out)
 {
   const char *text = mr_http_query_arg (chain->http, name, NULL);
-  guint64 number = (guint64) fallback;
+  guint64 number = (guint64) default_value;
   if (text &&
-      (!mr_text_parse_u64 (mr_text (text), &number) || number < 1 || number > (guint64) most))
+      (!mr_text_parse_u64 (mr_text (text), &number) || number < 1 || number > (guint64) max))
     return S_refuse (chain, MR_RESULT_BAD_REQUEST, 0,
                      "argument '%s': value '%.40s', expected a whole number "
                      "from 1 to %" G_GINT64_FORMAT,
-                     name, text, most);
+                     name, text, max);
   *out = (gint64) number;
   return TRUE;
 }
@@ -136,11 +138,11 @@
 S_filter_deadline (Chain *chain)
 {
   const MrDocument *document = &chain->request.service->document;
-  gboolean order = g_str_has_suffix (chain->http->path.data, "/orders");
-  gint64 fallback = order ? document->order_timeout_ms : document->deadline_ms;
-  gint64 most = order ? 60000 : document->max_deadline_ms;
+  gboolean is_order = g_str_has_suffix (chain->http->path.data, "/orders");
+  gint64 default_value = is_order ? document->order_timeout_ms : document->deadline_ms;
+  gint64 max = is_order ? 60000 : document->max_deadline_ms;
   gint64 deadline_ms = 0;
-  if (!S_number_arg (chain, "deadline_ms", fallback, most, &deadline_ms))
+  if (!S_parse_int_arg (chain, "deadline_ms", default_value, max, &deadline_ms))
     return FALSE;
   chain->request.deadline = chain->request.received_at + deadline_ms * MR_MS;
   return TRUE;
@@ -174,15 +176,14 @@
 S_filter_admission (Chain *chain)
 {
   MrEntryTask *task = chain->task;
-  guint most = (guint) task->context.settings->max_requests;
-  if (mr_http_server_pending_count (task->context.server) <= most)
+  guint max = (guint) task->context.settings->max_requests;
+  if (mr_http_server_pending_count (task->context.server) <= max)
     return TRUE;
   task->context.window_refused++;
-  return S_refuse (chain, MR_RESULT_OVERLOADED, 100, "this daemon serves %u requests already",
-                   most);
+  return S_refuse (chain, MR_RESULT_OVERLOADED, 100, "this daemon already serves %u requests", max);
 }
 
-/* Past the keep time of a planned stop callers should have moved on. */
+/* After the keep time of a planned stop, callers should use other daemons. */
 static gboolean
 S_filter_stage (Chain *chain)
 {
@@ -205,10 +206,10 @@
   return TRUE;
 }
 
-/* FALSE, and answered, if the search is quarantined.  One on probation goes on to the
- * owners, which try it at one target; orders do, since their tickets may have a result. */
+/* Refuses a quarantined search.  A search that is due for probation passes, since the owners try it
+ * at one target.  Orders are not checked, since there may already be a result for their ticket. */
 static gboolean
-S_check_content (Chain *chain, MrText content)
+S_check_quarantine (Chain *chain, MrText content)
 {
   const MrEntryContext *context = &chain->task->context;
   MrFingerprint fingerprint =
@@ -218,11 +219,11 @@
       mr_evidence_is_probation_due (&evidence, mr_unix_time ()))
     return TRUE;
   return S_refuse (chain, MR_RESULT_QUARANTINED, 0,
-                   "the same has ended %u targets; it is sent to none any more",
+                   "this search has crashed %u targets and is quarantined",
                    mr_evidence_crash_count (&evidence));
 }
 
-/* Requests that passed. */
+/* Requests that have passed the filters. */
 
 static void
 S_search (Chain *chain)
@@ -236,8 +237,8 @@
                 QUERY_MAX);
       return;
     }
-  if (S_number_arg (chain, "k", document->top_k, document->max_top_k, &top_k) &&
-      S_check_content (chain, mr_text (text)))
+  if (S_parse_int_arg (chain, "k", document->top_k, document->max_top_k, &top_k) &&
+      S_check_quarantine (chain, mr_text (text)))
     mr_searches_begin (chain->task->searches, &chain->request, mr_text (text), (guint) top_k);
 }
 
@@ -246,7 +247,7 @@
 {
   const char *ticket = mr_http_query_arg (chain->http, "ticket", "");
   if (chain->http->body.len == 0)
-    S_refuse (chain, MR_RESULT_BAD_REQUEST, 0, "the order's body is missing");
+    S_refuse (chain, MR_RESULT_BAD_REQUEST, 0, "the order has no body");
   else
     mr_order_handler_begin (chain->task->orders, &chain->request, mr_text (ticket),
                             chain->http->body);
@@ -282,7 +283,7 @@
     .service_name = parts[3],
     .request = { .http_id = request->id, .received_at = mr_now () },
   };
-  task->requested_at = chain.request.received_at;
+  task->last_request_at = chain.request.received_at;
   for (size_t i = 0; i < G_N_ELEMENTS (service_routes); i++)
     {
       if (!g_str_equal (service_routes[i].action, parts[4]))
@@ -296,7 +297,7 @@
   S_refuse (&chain, MR_RESULT_NO_PATH, 0, "no such path");
 }
 
-/* Operators' pages. */
+/* Pages for operators. */
 
 static void
 S_page_addresses (MrEntryTask *task, const MrHttpRequest *request)
@@ -304,7 +305,7 @@
   Chain chain = { .task = task, .http = request };
   gint64 count = 0;
   if (S_filter_ready (&chain) &&
-      S_number_arg (&chain, "count", ADDRESSES_DEFAULT, ADDRESSES_MAX, &count))
+      S_parse_int_arg (&chain, "count", ADDRESSES_DEFAULT, ADDRESSES_MAX, &count))
     S_reply_text (task, request->id, NULL,
                   mr_page_addresses (&task->context, mr_http_query_arg (request, "domain", NULL),
                                      (guint) count, task->random));
@@ -365,9 +366,9 @@
 };
 
 static void
-S_on_request (MrHttpHandler *host, const MrHttpRequest *request)
+S_on_request (MrHttpHandler *handler, const MrHttpRequest *request)
 {
-  MrEntryTask *task = TASK_OF_HTTP_HOST (host);
+  MrEntryTask *task = TASK_OF_HTTP_HANDLER (handler);
   for (size_t i = 0; i < G_N_ELEMENTS (pages); i++)
     if (mr_text_equal (request->path, mr_text (pages[i].path)))
       {
@@ -383,15 +384,15 @@
 }
 
 static void
-S_on_gone (MrHttpHandler *host, guint64 id)
+S_on_disconnect (MrHttpHandler *handler, guint64 id)
 {
-  mr_searches_cancel (TASK_OF_HTTP_HOST (host)->searches, id);
+  mr_searches_cancel (TASK_OF_HTTP_HANDLER (handler)->searches, id);
 }
 
-/* The task itself. */
+/* The task. */
 
 static void
-S_tell_self (MrEntryTask *task, MrMemberState state)
+S_publish_local_state (MrEntryTask *task, MrMemberState state)
 {
   mr_mailbox_post (task->context.control_mailbox,
                    &mr_local_state_message_new (state, task->busy)->base);
@@ -404,11 +405,12 @@
     return;
   MrTime now = mr_now ();
   task->stage = STAGE_LEAVING;
-  task->requested_at = now;
-  task->leave_at = now + task->context.settings->keep_ms * MR_MS + LEAVE_MARGIN;
-  mr_log (MR_LOG_NOTICE, MR_EVENT_STOPPING, "stopping: serving on for %d ms, then finishing",
+  task->last_request_at = now;
+  task->stop_not_before = now + task->context.settings->keep_ms * MR_MS + LEAVING_MARGIN;
+  mr_log (MR_LOG_NOTICE, MR_EVENT_STOPPING,
+          "stopping: still serving requests for %d ms, then exiting",
           task->context.settings->keep_ms);
-  S_tell_self (task, MR_MEMBER_LEAVING);
+  S_publish_local_state (task, MR_MEMBER_LEAVING);
 }
 
 static void
@@ -433,9 +435,9 @@
 }
 
 static void
-S_on_message (MrLoopHandler *host, MrMessage *message)
+S_on_message (MrLoopHandler *handler, MrMessage *message)
 {
-  MrEntryTask *task = (MrEntryTask *) host;
+  MrEntryTask *task = (MrEntryTask *) handler;
   switch (message->type)
     {
     case MR_MESSAGE_VIEW:
@@ -467,54 +469,55 @@
   mr_message_free (message);
 }
 
-/* Cutting off what is in flight would show callers a broken connection for work
- * that may have run; so the process stays until nothing is left. */
+/* Closing the connections of pending requests would leave their callers without knowing whether a
+ * request has run, so the process stops only once nothing is pending. */
 static gboolean
-S_may_go (MrEntryTask *task, MrTime now)
+S_can_stop (MrEntryTask *task, MrTime now)
 {
   if (!MR_SAFEGUARD (MR_GUARD_DRAIN))
     return TRUE;
-  gboolean quiet = now - task->requested_at > QUIET || now > task->leave_at + LEAVE_MAX;
-  return now >= task->leave_at && quiet && mr_searches_count (task->searches) == 0 &&
+  gboolean is_idle = now - task->last_request_at > IDLE_BEFORE_STOP ||
+                     now > task->stop_not_before + STOP_DELAY_MAX;
+  return now >= task->stop_not_before && is_idle && mr_searches_count (task->searches) == 0 &&
          mr_order_handler_pending_count (task->orders) == 0 &&
          mr_http_server_pending_count (task->context.server) == 0 &&
          mr_metrics_open_batches () == 0;
 }
 
-/* Marks this daemon busy while it refuses much, so that callers are handed
- * other addresses. */
+/* Marks this daemon busy while it refuses many requests, so that callers are given other addresses.
+ */
 static void
-S_look (MrEntryTask *task, MrTime now)
+S_update_busy (MrEntryTask *task, MrTime now)
 {
-  if (now < task->look_at)
+  if (now < task->next_load_check)
     return;
-  task->look_at = now + LOOK_GAP;
+  task->next_load_check = now + LOAD_CHECK_INTERVAL;
   guint refused = task->context.window_refused;
   guint total = refused + task->context.window_served;
   task->context.window_refused = 0;
   task->context.window_served = 0;
   guint percent = total > 0 ? refused * 100 / total : 0;
-  gboolean busy = task->busy ? percent > CALM_PERCENT : percent > BUSY_PERCENT;
+  gboolean busy = task->busy ? percent > BUSY_END_PERCENT : percent > BUSY_START_PERCENT;
   if (busy == task->busy || task->stage != STAGE_SERVING)
     return;
   task->busy = busy;
-  S_tell_self (task, MR_MEMBER_ALIVE);
+  S_publish_local_state (task, MR_MEMBER_ALIVE);
 }
 
 static MrTime
-S_on_tick (MrLoopHandler *host, MrTime now)
+S_on_tick (MrLoopHandler *handler, MrTime now)
 {
-  MrEntryTask *task = (MrEntryTask *) host;
+  MrEntryTask *task = (MrEntryTask *) handler;
   MrTime next = mr_searches_tick (task->searches, now);
   next = MIN (next, mr_order_handler_tick (task->orders, now));
-  S_look (task, now);
+  S_update_busy (task, now);
   if (task->stage == STAGE_LEAVING)
     {
       next = MIN (next, now + 20 * MR_MS);
-      if (S_may_go (task, now))
+      if (S_can_stop (task, now))
         {
           task->stage = STAGE_FINISHED;
-          S_tell_self (task, MR_MEMBER_LEFT);
+          S_publish_local_state (task, MR_MEMBER_LEFT);
           task->stopped (task->user);
         }
     }
@@ -525,8 +528,9 @@
 mr_entry_task_new (const MrEntryTaskInfo *info)
 {
   MrEntryTask *task = g_new0 (MrEntryTask, 1);
-  task->loop_host = (MrLoopHandler){ .on_message = S_on_message, .on_tick = S_on_tick };
-  task->http_host = (MrHttpHandler){ .on_request = S_on_request, .on_disconnect = S_on_gone };
+  task->loop_handler = (MrLoopHandler){ .on_message = S_on_message, .on_tick = S_on_tick };
+  task->http_handler =
+      (MrHttpHandler){ .on_request = S_on_request, .on_disconnect = S_on_disconnect };
   task->context.settings = info->settings;
   task->context.incarnation = info->incarnation;
   task->context.burn = mr_burn_new (mr_now ());
@@ -537,9 +541,9 @@
   task->user = info->user;
   task->searches = mr_searches_new (&task->context);
   task->orders = mr_order_handler_new (&task->context, info->random);
-  task->loop = mr_loop_new (&task->loop_host, (guint) info->settings->max_requests * 2);
+  task->loop = mr_loop_new (&task->loop_handler, (guint) info->settings->max_requests * 2);
   if (task->loop)
-    task->context.server = mr_http_server_new (task->loop, &task->http_host, info->settings->ip,
+    task->context.server = mr_http_server_new (task->loop, &task->http_handler, info->settings->ip,
                                                info->settings->http_port, BODY_MAX);
   if (!task->context.server)
     {
--- a/src/entry_task.h
+++ b/src/entry_task.h
@@ -1,5 +1,5 @@
-/* Task that serves callers and operators over HTTP (docs/CALLER-API.md): the
- * root of searches, the home of the tickets that this process issued. */
+/* The task that serves callers and operators over HTTP (docs/CALLER-API.md).  It is the root of the
+ * searches that this daemon receives, and keeps the tickets that this process has issued. */
 #pragma once
 
 #include "loop.h"
@@ -13,7 +13,7 @@
   const guint8 *random; /* 32 bytes, for tickets */
   guint64 incarnation;
   guint32 seed;
-  void (*stopped) (void *user); /* a planned stop is complete */
+  void (*stopped) (void *user); /* called once a planned stop is complete */
   void *user;
 } MrEntryTaskInfo;
 
@@ -22,5 +22,5 @@
 MrLoop *mr_entry_task_loop (MrEntryTask *task);
 void mr_entry_task_connect (MrEntryTask *task, MrMailbox *targets, MrMailbox *control);
 
-/* 128-bit incarnation of the process, as hex. */
+/* The 128-bit incarnation of the process, in hexadecimal. */
 const char *mr_entry_task_incarnation (const MrEntryTask *task);
