--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -1,7 +1,8 @@
-/* make bench: policies side by side on the same seeded load, in virtual time.
+/* Compares the policies for searches under the same seeded load in virtual time (make bench).
  *
- * Each row is the median of REPEATS seeds with the least and the most beside
- * it.  Times are of the virtual clock: they compare policies, not machines. */
+ * Each row shows the median over REPEATS seeds; for the 99 % latency also the minimum and the
+ * maximum.  Times are of the virtual clock, so they compare policies and do not depend on the
+ * machine. */
 
 #include "log.h"
 #include "search_sim.h"
@@ -19,23 +20,26 @@
   double p50;
   double p99;
   double p999;
-  double coverage; /* of all queries, refused ones as 0 */
+  double coverage; /* mean over all queries; refusals count as 0 */
   double complete; /* share of all queries */
-  double extra;    /* calls over the minimum */
-  double shed;     /* answers a query */
+  double extra;    /* calls in excess of the minimum, as a share of it */
+  double shed;     /* shed calls per query */
   double urgent;   /* share of urgent queries that were complete */
-  double goodput;  /* complete answers a second */
-  double peak;     /* calls at once at a target */
+  double goodput;  /* complete answers per second */
+  double peak;     /* maximum of concurrent calls at a target */
 } Row;
 
 static const char *const policy_names[] = {
-  [MR_WORLD_OWNERS] = "owners (ours)",    [MR_WORLD_DIRECT] = "direct, all slots",
-  [MR_WORLD_SHARE] = "direct, its share", [MR_WORLD_WAIT_ALL] = "naive: wait for all",
-  [MR_WORLD_TIMEOUT] = "naive: 50 ms",    [MR_WORLD_HEDGE_ALL] = "naive: hedge all",
+  [MR_SEARCH_SIM_OWNERS] = "owners (ours)",
+  [MR_SEARCH_SIM_DIRECT] = "direct, all slots",
+  [MR_SEARCH_SIM_DIRECT_SHARE] = "direct, its share",
+  [MR_SEARCH_SIM_WAIT_ALL] = "naive: wait for all",
+  [MR_SEARCH_SIM_TIMEOUT] = "naive: 50 ms",
+  [MR_SEARCH_SIM_HEDGE_ALL] = "naive: hedge all",
 };
 
 static Row
-S_row (const MrWorldConfig *config, const MrWorldResult *r)
+S_make_row (const MrSearchSimConfig *config, const MrSearchSimResult *r)
 {
   double queries = (double) MAX (r->queries, 1);
   const guint64 *class_queries = r->class_queries;
@@ -54,21 +58,21 @@
 }
 
 static int
-S_compare (const void *a, const void *b)
+S_compare_doubles (const void *a, const void *b)
 {
   double x = *(const double *) a;
   double y = *(const double *) b;
   return (x > y) - (x < y);
 }
 
-/* Median, least and most of one column over the repeats. */
+/* Median, minimum and maximum of one column over the seeds. */
 static void
 S_spread (const Row *rows, size_t offset, double out[3])
 {
   double values[REPEATS];
   for (int i = 0; i < REPEATS; i++)
     memcpy (&values[i], (const char *) &rows[i] + offset, sizeof values[i]);
-  qsort (values, REPEATS, sizeof *values, S_compare);
+  qsort (values, REPEATS, sizeof *values, S_compare_doubles);
   out[0] = values[REPEATS / 2];
   out[1] = values[0];
   out[2] = values[REPEATS - 1];
@@ -85,16 +89,19 @@
 #define MEDIAN(rows, column) S_median ((rows), offsetof (Row, column))
 
 static Row
-S_run (MrWorldConfig config, MrWorldPolicy policy, guint seed, MrWorldResult *result)
+S_simulate (MrSearchSimConfig config,
+            MrSearchSimPolicy policy,
+            guint seed,
+            MrSearchSimResult *result)
 {
   config.policy = policy;
   config.seed = seed;
-  mr_world_run (&config, result);
-  return S_row (&config, result);
+  mr_search_sim_run (&config, result);
+  return S_make_row (&config, result);
 }
 
 static void
-S_print (const char *scenario, MrWorldPolicy policy, const Row *rows)
+S_print (const char *scenario, MrSearchSimPolicy policy, const Row *rows)
 {
   double p99[3];
   S_spread (rows, offsetof (Row, p99), p99);
@@ -107,29 +114,29 @@
 }
 
 static void
-S_compare_policies (const char *scenario, const MrWorldConfig *config)
+S_compare_policies (const char *scenario, const MrSearchSimConfig *config)
 {
-  for (int policy = 0; policy <= MR_WORLD_HEDGE_ALL; policy++)
+  for (int policy = 0; policy <= MR_SEARCH_SIM_HEDGE_ALL; policy++)
     {
       Row rows[REPEATS];
-      MrWorldResult result;
+      MrSearchSimResult result;
       for (guint i = 0; i < REPEATS; i++)
-        rows[i] = S_run (*config, (MrWorldPolicy) policy, i + 1, &result);
-      S_print (scenario, (MrWorldPolicy) policy, rows);
+        rows[i] = S_simulate (*config, (MrSearchSimPolicy) policy, i + 1, &result);
+      S_print (scenario, (MrSearchSimPolicy) policy, rows);
     }
 }
 
 /* Scenarios. */
 
 static void
-S_none (MrWorldConfig *config)
+S_no_fault (MrSearchSimConfig *config)
 {
   (void) config;
 }
 
 /* One call in 20 takes ten times as long, everywhere. */
 static void
-S_stragglers (MrWorldConfig *config)
+S_stragglers (MrSearchSimConfig *config)
 {
   for (guint i = 0; i < config->targets; i++)
     {
@@ -138,45 +145,45 @@
     }
 }
 
-/* One target in 20, at least one, is ten times slower throughout. */
+/* One target in 20, and at least one, is always ten times slower. */
 static void
-S_slow_target (MrWorldConfig *config)
+S_slow_target (MrSearchSimConfig *config)
 {
   for (guint i = 0; i < config->targets; i += 20)
     config->faults[i].slow_factor = 10;
 }
 
 static void
-S_lost (MrWorldConfig *config)
+S_lost_target (MrSearchSimConfig *config)
 {
-  config->faults[0].dead_from = config->duration / 4;
+  config->faults[0].down_from = config->duration / 4;
 }
 
 static void
-S_silent (MrWorldConfig *config)
+S_silent_connections (MrSearchSimConfig *config)
 {
   config->faults[0].silent_from = config->duration / 4;
 }
 
 static void
-S_cold (MrWorldConfig *config)
+S_cold_restart (MrSearchSimConfig *config)
 {
-  config->faults[0].dead_from = config->duration / 4;
-  config->faults[0].dead_until = config->duration / 2;
+  config->faults[0].down_from = config->duration / 4;
+  config->faults[0].down_until = config->duration / 2;
   config->faults[0].cold_from = config->duration / 2;
   config->faults[0].cold_for = 2 * MR_SECOND;
 }
 
 static void
-S_dead_owner (MrWorldConfig *config)
+S_unreachable_daemon (MrSearchSimConfig *config)
 {
-  /* Whoever owns the cell; the lowest-numbered daemon that gets batches. */
-  config->dead_owner = 0;
-  config->dead_owner_at = config->duration / 4;
+  /* Daemon 0, whether or not it owns a cell. */
+  config->unreachable_daemon = 0;
+  config->unreachable_from = config->duration / 4;
 }
 
 static void
-S_overload (MrWorldConfig *config)
+S_overload (MrSearchSimConfig *config)
 {
   config->rate *= 5.0;
 }
@@ -184,91 +191,92 @@
 static const struct
 {
   const char *name;
-  void (*apply) (MrWorldConfig *config);
+  void (*apply) (MrSearchSimConfig *config);
 } scenarios[] = {
-  { "no fault", S_none },
+  { "no fault", S_no_fault },
   { "1 call in 20 slow", S_stragglers },
   { "1 target in 20 slow", S_slow_target },
-  { "one replica lost", S_lost },
-  { "silent connections", S_silent },
-  { "cold restart", S_cold },
-  { "one daemon cut off", S_dead_owner },
+  { "one replica lost", S_lost_target },
+  { "silent connections", S_silent_connections },
+  { "cold restart", S_cold_restart },
+  { "one daemon cut off", S_unreachable_daemon },
   { "5x the load", S_overload },
 };
 
-static const char *wanted;
+static const char *scenario_filter;
 
 static void
-S_shape (const char *name, const MrWorldConfig *shape)
+S_run_scenarios (const char *name, const MrSearchSimConfig *base_config)
 {
   printf ("\n%s: %u daemons, %u targets of %u slots, %u shards of %u replicas, %.0f queries/s\n",
-          name, shape->daemons, shape->targets, shape->slots, shape->shards, shape->replicas,
-          shape->rate);
+          name, base_config->daemons, base_config->targets, base_config->slots, base_config->shards,
+          base_config->replicas, base_config->rate);
   printf ("%-22s %-20s %7s %7s %15s %7s %8s %8s %8s %7s %7s %7s %4s\n", "fault", "policy", "p50 ms",
           "p99 ms", "[least   most]", "p99.9", "coverage", "complete", "extra", "shed/q", "urgent",
           "good/s", "peak");
   for (size_t i = 0; i < G_N_ELEMENTS (scenarios); i++)
     {
-      MrWorldConfig config = *shape;
-      /* Naive retries under overload make more calls than memory holds. */
-      if (scenarios[i].apply == S_overload && shape->targets > 100)
+      MrSearchSimConfig config = *base_config;
+      /* With many targets, the naive retries under overload run out of memory. */
+      if (scenarios[i].apply == S_overload && base_config->targets > 100)
         continue;
-      if (!strstr (scenarios[i].name, wanted))
+      if (!strstr (scenarios[i].name, scenario_filter))
         continue;
       scenarios[i].apply (&config);
       S_compare_policies (scenarios[i].name, &config);
     }
 }
 
-/* Goodput and urgent success as load grows past what the targets can do. */
+/* Goodput and success of urgent queries as the load grows beyond the capacity of the targets. */
 static void
 S_load_steps (void)
 {
-  MrWorldConfig config = mr_world_today ();
-  MrWorldResult result;
+  MrSearchSimConfig config = mr_search_sim_shop_config ();
+  MrSearchSimResult result;
   double capacity = 0;
   for (int rate = 100; rate <= 700; rate += 50)
     {
       config.rate = rate;
-      Row row = S_run (config, MR_WORLD_OWNERS, 1, &result);
+      Row row = S_simulate (config, MR_SEARCH_SIM_OWNERS, 1, &result);
       if (row.complete > 0.99)
         capacity = rate;
     }
   printf ("\ntoday's shape, owners: highest rate with 99 %% complete: %.0f/s\n", capacity);
   printf ("%6s %9s %9s %9s %9s %9s\n", "load", "good/s", "of 1x", "urgent", "extra", "ran!");
-  double base = 0;
-  static const double steps[] = { 0.5, 1, 2, 4 };
-  for (size_t s = 0; s < G_N_ELEMENTS (steps); s++)
+  double base_goodput = 0;
+  static const double load_factors[] = { 0.5, 1, 2, 4 };
+  for (size_t s = 0; s < G_N_ELEMENTS (load_factors); s++)
     {
-      double times = steps[s];
+      double load_factor = load_factors[s];
       Row rows[REPEATS];
-      guint64 ran = 0;
+      guint64 calls_despite_not_run = 0;
       for (guint i = 0; i < REPEATS; i++)
         {
-          config.rate = capacity * times;
-          rows[i] = S_run (config, MR_WORLD_OWNERS, i + 1, &result);
-          ran += result.ran_though_not_run;
+          config.rate = capacity * load_factor;
+          rows[i] = S_simulate (config, MR_SEARCH_SIM_OWNERS, i + 1, &result);
+          calls_despite_not_run += result.calls_despite_not_run;
         }
-      if (times == 1)
-        base = MEDIAN (rows, goodput);
-      printf ("%5.1fx %9.1f %8.1f%% %8.2f%% %8.2f%% %9lu\n", times, MEDIAN (rows, goodput),
-              base > 0 ? MEDIAN (rows, goodput) / base * 100 : 0, MEDIAN (rows, urgent) * 100,
-              MEDIAN (rows, extra) * 100, (unsigned long) ran);
+      if (load_factor == 1)
+        base_goodput = MEDIAN (rows, goodput);
+      printf ("%5.1fx %9.1f %8.1f%% %8.2f%% %8.2f%% %9lu\n", load_factor, MEDIAN (rows, goodput),
+              base_goodput > 0 ? MEDIAN (rows, goodput) / base_goodput * 100 : 0,
+              MEDIAN (rows, urgent) * 100, MEDIAN (rows, extra) * 100,
+              (unsigned long) calls_despite_not_run);
     }
 }
 
-/* With an argument only the scenarios whose names hold it are run. */
+/* With an argument, runs only the scenarios whose names contain it. */
 int
 main (int argc, char **argv)
 {
-  wanted = argc > 1 ? argv[1] : "";
+  scenario_filter = argc > 1 ? argv[1] : "";
   mr_log_set_level (MR_LOG_ERROR);
   setvbuf (stdout, NULL, _IOLBF, 0);
-  MrWorldConfig today = mr_world_today ();
-  MrWorldConfig wide = mr_world_wide ();
-  if (wanted[0] == '\0')
+  MrSearchSimConfig shop = mr_search_sim_shop_config ();
+  MrSearchSimConfig wide = mr_search_sim_wide_config ();
+  if (scenario_filter[0] == '\0')
     S_load_steps ();
-  S_shape ("today's shop search", &today);
-  S_shape ("wide", &wide);
+  S_run_scenarios ("today's shop search", &shop);
+  S_run_scenarios ("wide", &wide);
   return EXIT_SUCCESS;
 }
--- a/bench/search_sim.h
+++ b/bench/search_sim.h
@@ -1,8 +1,8 @@
-/* Virtual time around the real decision modules: roots (query.c), owners
- * (dispatch.c), and fakes of the targets and of the wire between daemons.
+/* Discrete-event simulation of searches in virtual time.  The roots (query.c) and owners
+ * (dispatch.c) are the real modules; the targets and the network between daemons are fakes.
  *
- * Single-threaded and seeded, so a run gives the same result each time.  Used
- * by bench_policy and by the property tests; no sockets, no threads. */
+ * The simulation has no sockets or threads and is seeded, so that a run always gives the same
+ * result.  It is used by bench_policy and by the property tests. */
 #pragma once
 
 #include "batch.h"
@@ -12,70 +12,72 @@
 
 enum
 {
-  MR_WORLD_TARGETS_MAX = 512,
-  MR_WORLD_DAEMONS_MAX = 16,
+  MR_SEARCH_SIM_TARGETS_MAX = 512,
+  MR_SEARCH_SIM_DAEMONS_MAX = 16,
 };
 
 typedef enum
 {
-  MR_WORLD_OWNERS,    /* one owner a cell, batches from the roots */
-  MR_WORLD_DIRECT,    /* every daemon for itself, all slots, reacts to shed */
-  MR_WORLD_SHARE,     /* every daemon for itself, its share of the slots */
-  MR_WORLD_WAIT_ALL,  /* naive: send all, repeat what is shed, wait for all */
-  MR_WORLD_TIMEOUT,   /* naive: the same, answers at a fixed time */
-  MR_WORLD_HEDGE_ALL, /* naive: every shard call at two replicas at once */
-} MrWorldPolicy;
+  MR_SEARCH_SIM_OWNERS, /* one owner per cell, which gets batches from the roots */
+  /* Every daemon calls the targets itself. */
+  MR_SEARCH_SIM_DIRECT,       /* with all slots; reacts to shed calls */
+  MR_SEARCH_SIM_DIRECT_SHARE, /* with its share of the slots */
+  /* Naive policies: send all calls at once and retry those that fail. */
+  MR_SEARCH_SIM_WAIT_ALL,  /* wait for all answers */
+  MR_SEARCH_SIM_TIMEOUT,   /* reply after fixed_timeout */
+  MR_SEARCH_SIM_HEDGE_ALL, /* send every call to two replicas at once */
+} MrSearchSimPolicy;
 
-/* Faults of one target; times are MR_NEVER if they never come. */
+/* Faults of one target.  A time of MR_NEVER disables a fault. */
 typedef struct
 {
-  double slow_factor; /* of every call; 1: none */
-  double slow_share;  /* share of calls that are slow_call_factor slower */
+  double slow_factor; /* applied to every call; 1: no fault */
+  double slow_share;  /* share of the calls that are slower by slow_call_factor */
   double slow_call_factor;
-  MrTime dead_from; /* refuses connections */
-  MrTime dead_until;
-  MrTime silent_from; /* open connections answer nothing; new ones do */
+  MrTime down_from; /* refuses connections */
+  MrTime down_until;
+  MrTime silent_from; /* open connections get no answers; new ones do */
   MrTime silent_until;
-  MrTime leaving_from; /* refuses as draining, is listed listed_lag later */
-  MrTime cold_from;    /* ten times slower for cold_for */
+  MrTime leaving_from; /* refuses calls as draining; listed as leaving after leaving_listed_delay */
+  MrTime cold_from;    /* calls take ten times as long for cold_for */
   MrTime cold_for;
-  double wrong_snapshot; /* share of answers from another snapshot */
-  double wrong_id;       /* share of answers with another call's id */
-  double broken;         /* share of calls whose connection breaks */
-  double doubled;        /* share of answers that come twice */
-} MrWorldFault;
+  double wrong_snapshot_share; /* of the answers: from another snapshot */
+  double wrong_id_share;       /* of the answers: with the id of another call */
+  double broken_share;         /* of the calls: the connection breaks */
+  double duplicate_share;      /* of the answers: arrive twice */
+} MrSearchSimFault;
 
 typedef struct
 {
   guint32 seed;
-  MrWorldPolicy policy;
+  MrSearchSimPolicy policy;
   guint daemons;
   guint targets;
   guint slots;
   guint shards;
   guint replicas;
   guint cell_shards;
-  MrTime hop;     /* one way between daemons */
-  MrTime wire;    /* one way between daemon and target */
-  MrTime connect; /* of a new connection */
-  double median;  /* service time, us */
-  double sigma;
-  double rate; /* queries a second, all daemons */
+  MrTime peer_delay;          /* one-way delay between daemons */
+  MrTime target_delay;        /* one-way delay between daemon and target */
+  MrTime connect_time;        /* time to open a connection */
+  double service_time_median; /* in us; service times are log-normal */
+  double service_time_sigma;
+  double rate; /* queries per second, over all daemons */
   MrTime duration;
   MrTime deadline;
   MrTime fixed_timeout; /* of MR_WORLD_TIMEOUT */
   double class_share[MR_TRAFFIC_CLASS_COUNT];
   double extra_calls;
   guint top_k;
-  MrTime switch_at;      /* the next snapshot is put in force */
-  MrTime drop_old_after; /* targets drop the old one this much later */
-  MrTime listed_lag;
-  guint dead_owner; /* daemon that hears nothing; >= daemons: none */
-  MrTime dead_owner_at;
-  double partial_loss;   /* share of partials lost between daemons */
-  double partial_double; /* share of partials that come twice */
-  MrWorldFault faults[MR_WORLD_TARGETS_MAX];
-} MrWorldConfig;
+  MrTime snapshot_switch_at;      /* the next snapshot becomes current */
+  MrTime old_snapshot_drop_delay; /* after which the targets drop the old snapshot */
+  MrTime leaving_listed_delay;    /* from the first refusal until all daemons know */
+  guint unreachable_daemon;       /* gets no batches from other daemons; none if >= daemons */
+  MrTime unreachable_from;
+  double partial_loss_share;      /* of the partials between daemons: lost */
+  double partial_duplicate_share; /* of the partials between daemons: arrive twice */
+  MrSearchSimFault faults[MR_SEARCH_SIM_TARGETS_MAX];
+} MrSearchSimConfig;
 
 typedef struct
 {
@@ -83,26 +85,26 @@
   guint64 complete;
   guint64 partial;
   guint64 refused;
-  double coverage; /* sum over answers, refused ones as 0 */
+  double coverage; /* sum over the answers; refusals count as 0 */
   guint64 calls;
-  guint64 minimum_calls; /* shards of all queries that were not refused */
+  guint64 minimum_calls; /* total number of shards of the queries that were not refused */
   guint64 shed;
-  guint64 peak_in_flight; /* at one target */
-  MrHistogram latency;    /* of answers */
+  guint64 peak_in_flight; /* at any one target */
+  MrHistogram latency;    /* of the answers */
   guint64 class_queries[MR_TRAFFIC_CLASS_COUNT];
   guint64 class_complete[MR_TRAFFIC_CLASS_COUNT];
-  /* Broken promises, as the fakes saw them. */
-  guint64 bad_hits;     /* answer differs from the reference merge */
-  guint64 bad_coverage; /* states another coverage than its shards have */
-  guint64 ran_though_not_run;
-  guint64 late_calls_to_leaving; /* begun over 3 s after its first sign */
-  guint64 late_answers;          /* after the deadline */
-} MrWorldResult;
+  /* Violations of the guarantees of a search. */
+  guint64 bad_hits;              /* answers that differ from the reference merge */
+  guint64 bad_coverage;          /* answers whose coverage is not that of their shards */
+  guint64 calls_despite_not_run; /* answers of "not run" to queries for which calls were sent */
+  guint64 late_calls_to_leaving; /* calls sent more than 3 s after a target was listed as leaving */
+  guint64 late_answers;          /* answers after the deadline */
+} MrSearchSimResult;
 
-/* Defaults of today's shop search: 7 daemons, 3 targets of 5 slots, 12 shards. */
-MrWorldConfig mr_world_today (void);
+/* The current shop search: 7 daemons, 3 targets of 5 slots, 12 shards. */
+MrSearchSimConfig mr_search_sim_shop_config (void);
 
-/* A wide service: 300 targets, 300 shards, one query to all. */
-MrWorldConfig mr_world_wide (void);
+/* A wide service: 300 targets and 300 shards, all of which every query reads. */
+MrSearchSimConfig mr_search_sim_wide_config (void);
 
-void mr_world_run (const MrWorldConfig *config, MrWorldResult *result);
+void mr_search_sim_run (const MrSearchSimConfig *config, MrSearchSimResult *result);
