--- a/src/entry_plan.c
+++ b/src/entry_plan.c
@@ -8,7 +8,7 @@
 static const double MAX_LOAD_SHARE = 0.2;
 /* Share of each target's connections and slots that is reserved for the daemons that are not
  * entries: callers with an old answer, and operators' tests, still send requests to them. */
-static const double NON_ENTRY_CONNECTION_SHARE = 0.25;
+static const double NON_ENTRY_TARGET_SHARE = 0.25;
 /* While views of the members differ or VMs are being replaced, more daemons than the plan names may
  * consider themselves entries; connection shares are divided by this factor. */
 static const double OVERLAP_FACTOR = 1.5;
@@ -97,7 +97,7 @@
       plan.is_entry = TRUE;
   guint entries = MAX (plan.entries->len, 1);
   guint non_entries = usable > entries ? usable - entries : 0;
-  double non_entry_share = non_entries > 0 ? NON_ENTRY_CONNECTION_SHARE : 0;
+  double non_entry_share = non_entries > 0 ? NON_ENTRY_TARGET_SHARE : 0;
   double non_entry_allowance = non_entries > 0 ? NON_ENTRY_ALLOWANCE_SHARE : 0;
   plan.slot_share = plan.is_entry || non_entries == 0 ? (1 - non_entry_share) / entries
                                                       : non_entry_share / non_entries;
--- a/test/core.hpp
+++ b/test/core.hpp
@@ -1,4 +1,4 @@
-// C modules under test, as C++ sees them.
+// Includes of the C modules under test, and helpers for property tests.
 #pragma once
 
 #include <glib.h>
@@ -26,7 +26,7 @@
 #include "wire.h"
 }
 
-// Switches one safeguard off for the length of a scope.
+// Switches off one safeguard for the lifetime of the object.
 class GuardOff
 {
 public:
@@ -40,27 +40,28 @@
   }
 };
 
-// TRUE if one of @schedules breaks a promise while the safeguard is off: a test
-// that can't fail proves nothing.  @run takes a seed and says what broke, or
-// nothing.
+// Checks that a property test can fail, since one that cannot proves nothing: returns true if the
+// test finds a violation for one of the seeds 1 to @seeds while the safeguard is off.  @run takes a
+// seed and returns a description of the violation, or an empty string.
 template <typename Run>
 bool
-fails_without (const char *what, MrGuard guard, guint32 schedules, Run run)
+fails_without (const char *what, MrGuard guard, guint32 seeds, Run run)
 {
   GuardOff off (guard);
-  for (guint32 seed = 1; seed <= schedules; seed++)
+  for (guint32 seed = 1; seed <= seeds; seed++)
     {
-      std::string broken = run (seed);
-      if (broken.empty ())
+      std::string violation = run (seed);
+      if (violation.empty ())
         continue;
-      std::printf ("without the safeguard '%s': %s, at schedule %u\n", what, broken.c_str (), seed);
+      std::printf ("without the safeguard '%s': %s, at seed %u\n", what, violation.c_str (), seed);
       return true;
     }
   std::printf ("without the safeguard '%s': NOT BROKEN\n", what);
   return false;
 }
 
-// One step of a history, with two numbers from 0 to 99 to choose by.
+// One step of a generated history.  a and b are random numbers from 0 to 99 that select its
+// details.
 struct Command
 {
   int kind;
@@ -68,7 +69,7 @@
   int b;
 };
 
-// @count steps of @kinds kinds, the same for the same seed.
+// Generates @count steps of @kinds kinds; the same seed gives the same steps.
 inline std::vector<Command>
 generate_commands (guint32 seed, int count, int kinds)
 {
--- a/test/test_dispatch.c
+++ b/test/test_dispatch.c
@@ -1,5 +1,5 @@
-/* Batches of shard calls: what second sends may cost, whose turn it is, maps that
- * follow each other. */
+/* Batches of shard calls: the budget for retries, the order of traffic classes, changes of the
+ * shard map, searches that crash targets. */
 
 #include "dispatch.h"
 
@@ -11,26 +11,26 @@
 
 #include <cmocka.h>
 
-/* A daemon's searches on two targets that hold all shards. */
+/* A dispatcher with two targets, each of which serves all shards. */
 typedef struct
 {
   MrDispatchHost host;
   MrDispatch *dispatch;
   MrShardMap *map;
-  GQueue *started; /* ids of calls not ended, as MrCallStart */
-  guint calls;
-  guint covered; /* shards of the latest partial */
-  guint64 last;  /* batch that was answered last */
-  guint64 searches;
-  MrEvidence evidence; /* told last */
-} Searches;
+  GQueue *open_calls; /* MrShardCall that have not ended, oldest first */
+  guint call_count;
+  guint covered_shard_count; /* of the last partial */
+  guint64 last_batch_id;     /* of the last partial */
+  guint64 last_submitted_id; /* id of the last batch submitted */
+  MrEvidence evidence;       /* published last */
+} Fixture;
 
 static void
 S_start_call (MrDispatchHost *host, const MrShardCall *start)
 {
-  Searches *searches = (Searches *) host;
-  searches->calls++;
-  g_queue_push_tail (searches->started, g_memdup2 (start, sizeof *start));
+  Fixture *fixture = (Fixture *) host;
+  fixture->call_count++;
+  g_queue_push_tail (fixture->open_calls, g_memdup2 (start, sizeof *start));
 }
 
 static void
@@ -48,23 +48,23 @@
 }
 
 static void
-S_done (MrDispatchHost *host, MrPartial *partial)
+S_deliver_partial (MrDispatchHost *host, MrPartial *partial)
 {
-  Searches *searches = (Searches *) host;
-  searches->covered = partial->covered_shard_count;
-  searches->last = partial->batch_id;
+  Fixture *fixture = (Fixture *) host;
+  fixture->covered_shard_count = partial->covered_shard_count;
+  fixture->last_batch_id = partial->batch_id;
   mr_partial_free (partial);
 }
 
 static void
-S_evidence (MrDispatchHost *host, MrFingerprint content, const MrEvidence *evidence)
+S_publish_evidence (MrDispatchHost *host, MrFingerprint content, const MrEvidence *evidence)
 {
   (void) content;
-  ((Searches *) host)->evidence = *evidence;
+  ((Fixture *) host)->evidence = *evidence;
 }
 
 static MrShardMap *
-S_two_targets (guint generation, guint shards, guint slots)
+S_map_of_two_targets (guint generation, guint shards, guint slots)
 {
   g_autoptr (GString) json = g_string_new ("{\"snapshot\":\"s\",\"targets\":[");
   for (guint i = 0; i < 2; i++)
@@ -82,141 +82,141 @@
   return map;
 }
 
-static Searches
-S_begin (guint shards, guint slots)
+static Fixture
+S_set_up (guint shards, guint slots)
 {
-  Searches searches = { .host = { .start_call = S_start_call,
-                                  .cancel_call = S_cancel_call,
-                                  .probe = S_ignore_target,
-                                  .reconnect = S_ignore_target,
-                                  .deliver_partial = S_done,
-                                  .publish_evidence = S_evidence } };
-  searches.started = g_queue_new ();
-  searches.map = S_two_targets (1, shards, slots);
-  return searches;
+  Fixture fixture = { .host = { .start_call = S_start_call,
+                                .cancel_call = S_cancel_call,
+                                .probe = S_ignore_target,
+                                .reconnect = S_ignore_target,
+                                .deliver_partial = S_deliver_partial,
+                                .publish_evidence = S_publish_evidence } };
+  fixture.open_calls = g_queue_new ();
+  fixture.map = S_map_of_two_targets (1, shards, slots);
+  return fixture;
 }
 
 static void
-S_end (Searches *searches)
+S_tear_down (Fixture *fixture)
 {
-  g_queue_free_full (searches->started, g_free);
-  mr_dispatch_free (searches->dispatch);
-  mr_shard_map_unref (searches->map);
+  g_queue_free_full (fixture->open_calls, g_free);
+  mr_dispatch_free (fixture->dispatch);
+  mr_shard_map_unref (fixture->map);
 }
 
 static void
-S_search (Searches *searches, MrTime now, MrTrafficClass cls)
+S_search (Fixture *fixture, MrTime now, MrTrafficClass traffic_class)
 {
-  guint shards = searches->map->shard_count;
-  MrBatch *batch = mr_batch_new (++searches->searches, searches->map, shards);
+  guint shards = fixture->map->shard_count;
+  MrBatch *batch = mr_batch_new (++fixture->last_submitted_id, fixture->map, shards);
   MrDispatchInfo info = { .seed = 1 };
-  if (!searches->dispatch)
-    searches->dispatch = mr_dispatch_new (&searches->host, &info);
+  if (!fixture->dispatch)
+    fixture->dispatch = mr_dispatch_new (&fixture->host, &info);
   for (guint i = 0; i < shards; i++)
     batch->shards[i] = i;
-  batch->traffic_class = cls;
+  batch->traffic_class = traffic_class;
   batch->deadline = now + 10 * MR_SECOND;
   batch->policy =
       (MrBatchPolicy){ .extra_call_ratio = 0.05, .hedge_quantile = 0.95, .owner_count = 1 };
-  mr_dispatch_submit (searches->dispatch, now, batch);
+  mr_dispatch_submit (fixture->dispatch, now, batch);
 }
 
-/* The oldest @count calls break after they were sent. */
+/* Ends the oldest @count calls with broken connections, to targets that are still alive. */
 static void
-S_break (Searches *searches, guint count)
+S_break_calls (Fixture *fixture, guint count)
 {
   for (guint i = 0; i < count; i++)
     {
-      g_autofree MrShardCall *call = g_queue_pop_head (searches->started);
-      MrCallResult end = { .id = call->id, .outcome = MR_CALL_BROKEN };
-      mr_dispatch_call_end (searches->dispatch, MR_SECOND, &end);
-      mr_dispatch_probe_end (searches->dispatch, MR_SECOND, call->target->key, true);
+      g_autofree MrShardCall *call = g_queue_pop_head (fixture->open_calls);
+      MrCallResult result = { .id = call->id, .outcome = MR_CALL_BROKEN };
+      mr_dispatch_call_end (fixture->dispatch, MR_SECOND, &result);
+      mr_dispatch_probe_end (fixture->dispatch, MR_SECOND, call->target->key, true);
     }
 }
 
 static void
-S_answer (Searches *searches, MrTime now, guint count)
+S_answer_calls (Fixture *fixture, MrTime now, guint count)
 {
   for (guint i = 0; i < count; i++)
     {
-      g_autofree MrShardCall *call = g_queue_pop_head (searches->started);
-      MrCallResult end = {
+      g_autofree MrShardCall *call = g_queue_pop_head (fixture->open_calls);
+      MrCallResult result = {
         .id = call->id,
         .outcome = MR_CALL_ANSWER,
         .echoed_id = call->id,
-        .echoed_snapshot = mr_text (searches->map->snapshot),
-        .echoed_shard = mr_text (searches->map->shards[call->shard].name),
+        .echoed_snapshot = mr_text (fixture->map->snapshot),
+        .echoed_shard = mr_text (fixture->map->shards[call->shard].name),
       };
-      mr_dispatch_call_end (searches->dispatch, now, &end);
+      mr_dispatch_call_end (fixture->dispatch, now, &result);
     }
 }
 
-/* A caller gets half of an answer, or none: a daemon has served a dozen searches
- * when all its connections to one target go silent.  Each of the twelve shards of
- * the next search needs a second call, and what the first searches have earned
- * pays for eight. */
+/* Guards against partial or empty answers shortly after the start of a daemon.  A daemon had served
+ * a dozen searches when all its connections to one target became silent.  Each of the 12 shards of
+ * the next search needed a retry, but the share of the first searches' calls only allowed 8. */
 static void
-test_first_savings (void **state)
+test_resend_allowance (void **state)
 {
   enum
   {
     SHARDS = 12,
-    LATER = 10,
+    LATER_SEARCHES = 10,
   };
   (void) state;
-  Searches searches = S_begin (SHARDS, 50);
-  /* All connections to the target that got a call first are gone. */
-  S_search (&searches, MR_SECOND, MR_TRAFFIC_CLASS_URGENT);
-  S_break (&searches, SHARDS);
-  assert_int_equal (searches.calls, 2 * SHARDS);
-  S_answer (&searches, MR_SECOND, g_queue_get_length (searches.started));
-  assert_int_equal (searches.covered, SHARDS);
-  /* Still a bound: the searches after it lose their first calls, too. */
-  for (guint i = 0; i < LATER; i++)
+  Fixture fixture = S_set_up (SHARDS, 50);
+  /* All connections of the first calls break. */
+  S_search (&fixture, MR_SECOND, MR_TRAFFIC_CLASS_URGENT);
+  S_break_calls (&fixture, SHARDS);
+  assert_int_equal (fixture.call_count, 2 * SHARDS);
+  S_answer_calls (&fixture, MR_SECOND, g_queue_get_length (fixture.open_calls));
+  assert_int_equal (fixture.covered_shard_count, SHARDS);
+  /* The budget is still limited: the first calls of the later searches break as well. */
+  for (guint i = 0; i < LATER_SEARCHES; i++)
     {
-      S_search (&searches, MR_SECOND, MR_TRAFFIC_CLASS_URGENT);
-      S_break (&searches, SHARDS);
-      S_break (&searches, g_queue_get_length (searches.started));
+      S_search (&fixture, MR_SECOND, MR_TRAFFIC_CLASS_URGENT);
+      S_break_calls (&fixture, SHARDS);
+      S_break_calls (&fixture, g_queue_get_length (fixture.open_calls));
     }
-  guint extra = searches.calls - (1 + LATER) * SHARDS;
-  assert_in_range (extra, SHARDS, 20 + 0.05 * (1 + LATER) * SHARDS);
-  S_end (&searches);
+  guint extra_calls = fixture.call_count - (1 + LATER_SEARCHES) * SHARDS;
+  assert_in_range (extra_calls, SHARDS, 20 + 0.05 * (1 + LATER_SEARCHES) * SHARDS);
+  S_tear_down (&fixture);
 }
 
-/* Members who browse never get an answer: counters ask without a pause, and each
- * call that ends makes room for the next urgent one.  A batch that has waited for
- * longer than its class's lag (400 ms) goes before urgent ones that came later. */
+/* Guards against starvation of the browsing class: urgent searches arrive without a pause, and each
+ * call that ends makes room for the next urgent one.  A batch that has waited for longer than the
+ * delay of its class (400 ms) goes before urgent ones that arrived later. */
 static void
 test_no_class_starves (void **state)
 {
   enum
   {
     URGENT_GAP_MS = 20,
-    BROWSING = 2, /* number of the batch */
+    BROWSING_BATCH = 2, /* the id of the batch is one higher */
   };
   (void) state;
-  Searches searches = S_begin (1, 1);
+  Fixture fixture = S_set_up (1, 1);
   MrTime now = MR_SECOND;
-  S_search (&searches, now, MR_TRAFFIC_CLASS_URGENT);
-  S_search (&searches, now, MR_TRAFFIC_CLASS_URGENT);
-  searches.searches = BROWSING;
-  S_search (&searches, now, MR_TRAFFIC_CLASS_BROWSING);
-  MrTime asked = now;
-  for (now += URGENT_GAP_MS * MR_MS; searches.last != BROWSING + 1; now += URGENT_GAP_MS * MR_MS)
+  S_search (&fixture, now, MR_TRAFFIC_CLASS_URGENT);
+  S_search (&fixture, now, MR_TRAFFIC_CLASS_URGENT);
+  fixture.last_submitted_id = BROWSING_BATCH;
+  S_search (&fixture, now, MR_TRAFFIC_CLASS_BROWSING);
+  MrTime sent_at = now;
+  for (now += URGENT_GAP_MS * MR_MS; fixture.last_batch_id != BROWSING_BATCH + 1;
+       now += URGENT_GAP_MS * MR_MS)
     {
-      assert_true (now - asked < 600 * MR_MS);
-      S_search (&searches, now, MR_TRAFFIC_CLASS_URGENT);
-      S_answer (&searches, now, 1);
+      assert_true (now - sent_at < 600 * MR_MS);
+      S_search (&fixture, now, MR_TRAFFIC_CLASS_URGENT);
+      S_answer_calls (&fixture, now, 1);
     }
-  assert_true (now - asked > 400 * MR_MS); /* urgent ones did overtake until then */
-  S_end (&searches);
+  assert_true (now - sent_at > 400 * MR_MS); /* urgent calls went first until then */
+  S_tear_down (&fixture);
 }
 
-/* Callers see nothing of it, operators a daemon that grows: a new map each minute
- * leaves the queues of all shards of the map before.  They are taken down once the
- * last batch that uses them has ended, and not before. */
+/* Guards against a memory leak: a service with a new shard map every minute left the queues of all
+ * shards of the previous map behind.  They are removed once the last batch that uses them has
+ * ended, and not before. */
 static void
-test_maps_follow (void **state)
+test_unused_maps_are_removed (void **state)
 {
   enum
   {
@@ -224,51 +224,52 @@
     SHARDS = 4,
   };
   (void) state;
-  Searches searches = S_begin (SHARDS, 50);
+  Fixture fixture = S_set_up (SHARDS, 50);
   for (guint generation = 2; generation <= MAPS; generation++)
     {
-      S_search (&searches, MR_SECOND, MR_TRAFFIC_CLASS_URGENT);
-      mr_shard_map_unref (searches.map);
-      searches.map = S_two_targets (generation, SHARDS, 50);
-      S_search (&searches, MR_SECOND, MR_TRAFFIC_CLASS_URGENT);
-      assert_int_equal (mr_dispatch_map_count (searches.dispatch), 2);
-      S_answer (&searches, MR_SECOND, 2 * SHARDS);
-      assert_int_equal (searches.covered, SHARDS);
-      mr_dispatch_tick (searches.dispatch, MR_SECOND);
-      assert_int_equal (mr_dispatch_map_count (searches.dispatch), 1);
+      S_search (&fixture, MR_SECOND, MR_TRAFFIC_CLASS_URGENT);
+      mr_shard_map_unref (fixture.map);
+      fixture.map = S_map_of_two_targets (generation, SHARDS, 50);
+      S_search (&fixture, MR_SECOND, MR_TRAFFIC_CLASS_URGENT);
+      assert_int_equal (mr_dispatch_map_count (fixture.dispatch), 2);
+      S_answer_calls (&fixture, MR_SECOND, 2 * SHARDS);
+      assert_int_equal (fixture.covered_shard_count, SHARDS);
+      mr_dispatch_tick (fixture.dispatch, MR_SECOND);
+      assert_int_equal (mr_dispatch_map_count (fixture.dispatch), 1);
     }
-  S_end (&searches);
+  S_tear_down (&fixture);
 }
 
-/* All open calls break, and their targets are gone. */
+/* Ends all open calls with broken connections; the probes of their targets fail. */
 static void
-S_end_targets (Searches *searches, MrTime now)
+S_crash_targets (Fixture *fixture, MrTime now)
 {
-  guint count = g_queue_get_length (searches->started);
+  guint count = g_queue_get_length (fixture->open_calls);
   for (guint i = 0; i < count; i++)
     {
-      g_autofree MrShardCall *call = g_queue_pop_head (searches->started);
-      MrCallResult end = { .id = call->id, .outcome = MR_CALL_BROKEN };
-      mr_dispatch_call_end (searches->dispatch, now, &end);
-      mr_dispatch_probe_end (searches->dispatch, now, call->target->key, false);
+      g_autofree MrShardCall *call = g_queue_pop_head (fixture->open_calls);
+      MrCallResult result = { .id = call->id, .outcome = MR_CALL_BROKEN };
+      mr_dispatch_call_end (fixture->dispatch, now, &result);
+      mr_dispatch_probe_end (fixture->dispatch, now, call->target->key, false);
     }
-  mr_dispatch_tick (searches->dispatch, now);
+  mr_dispatch_tick (fixture->dispatch, now);
 }
 
-/* Both targets take connections again. */
+/* Makes the probes of both targets succeed. */
 static void
-S_revive_targets (Searches *searches, MrTime now)
+S_revive_targets (Fixture *fixture, MrTime now)
 {
-  mr_dispatch_tick (searches->dispatch, now);
-  mr_dispatch_probe_end (searches->dispatch, now, "10.0.0.1:80", true);
-  mr_dispatch_probe_end (searches->dispatch, now, "10.0.0.2:80", true);
+  mr_dispatch_tick (fixture->dispatch, now);
+  mr_dispatch_probe_end (fixture->dispatch, now, "10.0.0.1:80", true);
+  mr_dispatch_probe_end (fixture->dispatch, now, "10.0.0.2:80", true);
 }
 
-/* A search ends each searcher that begins it, and is asked again.  Its parts were sent to
- * the other replica at once, and to both again with each repeat; now one part goes out
- * alone, and after three ends none. */
+/* Guards against a search that crashes each target that executes it and is repeated by its callers.
+ * All its parts were retried at the other replica at once, and sent to both again with each
+ * repetition.  After the first crash only one part may be sent at a time, and after the third none.
+ */
 static void
-test_search_that_ends_targets (void **state)
+test_search_that_crashes_targets (void **state)
 {
   enum
   {
@@ -276,24 +277,24 @@
     REPEATS = 8,
   };
   (void) state;
-  Searches searches = S_begin (SHARDS, 50);
+  Fixture fixture = S_set_up (SHARDS, 50);
   MrTime now = MR_SECOND;
-  S_search (&searches, now, MR_TRAFFIC_CLASS_URGENT);
-  S_end_targets (&searches, now);
-  assert_true (searches.calls <= SHARDS + 1);
+  S_search (&fixture, now, MR_TRAFFIC_CLASS_URGENT);
+  S_crash_targets (&fixture, now);
+  assert_true (fixture.call_count <= SHARDS + 1);
   for (guint i = 0; i < REPEATS; i++)
     {
-      while (!g_queue_is_empty (searches.started))
-        S_end_targets (&searches, now);
+      while (!g_queue_is_empty (fixture.open_calls))
+        S_crash_targets (&fixture, now);
       now += 3 * MR_SECOND;
-      S_revive_targets (&searches, now);
-      S_search (&searches, now, MR_TRAFFIC_CLASS_URGENT);
-      mr_dispatch_tick (searches.dispatch, now);
+      S_revive_targets (&fixture, now);
+      S_search (&fixture, now, MR_TRAFFIC_CLASS_URGENT);
+      mr_dispatch_tick (fixture.dispatch, now);
     }
-  assert_int_equal (mr_evidence_standing (&searches.evidence, 4), MR_STANDING_QUARANTINED);
-  assert_true (searches.calls <= SHARDS + 3);
-  assert_int_equal (searches.covered, 0);
-  S_end (&searches);
+  assert_int_equal (mr_evidence_standing (&fixture.evidence, 4), MR_STANDING_QUARANTINED);
+  assert_true (fixture.call_count <= SHARDS + 3);
+  assert_int_equal (fixture.covered_shard_count, 0);
+  S_tear_down (&fixture);
 }
 
 int
@@ -301,10 +302,10 @@
 {
   mr_log_set_level (MR_LOG_ERROR);
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_first_savings),
-    cmocka_unit_test (test_search_that_ends_targets),
+    cmocka_unit_test (test_resend_allowance),
+    cmocka_unit_test (test_search_that_crashes_targets),
     cmocka_unit_test (test_no_class_starves),
-    cmocka_unit_test (test_maps_follow),
+    cmocka_unit_test (test_unused_maps_are_removed),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
