--- a/src/query.c
+++ b/src/query.c
@@ -317,8 +317,8 @@
   return q->ended;
 }
 
-/* A search counts as not run only if every cell was refused before any call was sent: an owner that
- * has not answered may already have sent calls to its targets. */
+/* A search counts as not run only if at least one batch was refused and no call can have been sent
+ * for any batch.  An owner that has not answered may already have sent calls to its targets. */
 static gboolean
 S_is_not_run (const MrQuery *q)
 {
