--- a/src/daemon.c
+++ b/src/daemon.c
@@ -8,7 +8,9 @@
 #include "target_task.h"
 #include "task_message.h"
 
-static const MrTime FAREWELL = 300 * MR_MS;
+/* After the entry task has stopped: time for the last heartbeat, which tells the other daemons that
+ * this one has left. */
+static const MrTime SHUTDOWN_DELAY = 300 * MR_MS;
 
 typedef struct
 {
@@ -107,7 +109,7 @@
                    mr_platform_task_loop (d.platform) },
         .stop = S_on_stop,
         .user = &d,
-        .shutdown_delay = FAREWELL,
+        .shutdown_delay = SHUTDOWN_DELAY,
       };
       mr_process_run (&d.process, &tasks, settings);
     }
--- a/src/daemon.h
+++ b/src/daemon.h
@@ -1,14 +1,16 @@
-/* One daemon: four tasks, each a thread with its own sockets and state, joined
- * by mailboxes.
+/* The daemon process.  It runs four tasks, each in a thread with its own sockets and state.  They
+ * communicate by mailboxes.
  *
- *   entry     callers and operators (HTTP), root of searches, tickets
- *   targets   connections to targets, owner of cells
- *   control   other daemons (ZeroMQ), members, objects in force, controllers
- *   platform  calls to the object API */
+ *   entry     serves callers and operators over HTTP, coordinates searches, issues tickets
+ *   targets   holds the connections to targets and dispatches the calls of the cells that this
+ *             daemon owns
+ *   control   exchanges membership and objects with other daemons over ZeroMQ, and runs the
+ *             controllers
+ *   platform  calls the platform's object API */
 #pragma once
 
 #include "settings.h"
 
-/* Runs until SIGTERM or SIGINT and a planned stop after it.  Returns when the
- * stop is complete, or at once with an error if something can't start. */
+/* Runs until SIGTERM or SIGINT starts a graceful shutdown, and returns when that is complete.
+ * Returns an error immediately if a task can't start. */
 MrStatus mr_daemon_run (const MrSettings *settings);
--- a/src/main.c
+++ b/src/main.c
@@ -1,4 +1,4 @@
-/* merlinringd: the daemon. */
+/* merlinringd: entry point of the daemon process. */
 
 #include "daemon.h"
 #include <stdio.h>
