--- a/src/json_page.c
+++ b/src/json_page.c
@@ -2,9 +2,9 @@
 
 enum
 {
-  /* Brackets tried as the end of a list: what follows the list on a page are two
-   * scalars, so the last one is mostly right. */
-  ENDS_TRIED = 64,
+  /* Closing brackets that are tried as the end of the list, from the last one backwards.  Only two
+   * scalars follow the list on a page, so the last bracket is usually the right one. */
+  END_CANDIDATES_MAX = 64,
 };
 
 static gboolean
@@ -21,7 +21,7 @@
   return at;
 }
 
-/* Where the value of the first member @name begins; text.len if there is none. */
+/* Returns the start of the value of the first member called @name; text.len if there is none. */
 static gsize
 S_find_value (MrText text, const char *name)
 {
@@ -38,7 +38,7 @@
   return text.len;
 }
 
-/* Reads one value at @at and moves @at behind it. */
+/* Parses one value at @at and advances @at past it; leaves @at unchanged on failure. */
 static json_t *
 S_read_value (MrText text, gsize *at)
 {
@@ -57,30 +57,32 @@
   return at < text.len ? S_read_value (text, &at) : NULL;
 }
 
-/* The page without its elements, which end at @end. */
+/* Parses the page without the text from @begin to @end, which holds the elements of its list. */
 static json_t *
-S_load_without (MrText text, gsize begin, gsize end)
+S_load_without_elements (MrText text, gsize begin, gsize end)
 {
-  g_autoptr (GString) rest = g_string_new_len (text.data, (gssize) begin);
-  g_string_append_len (rest, text.data + end, (gssize) (text.len - end));
-  json_t *root = json_loadb (rest->str, rest->len, 0, NULL);
+  g_autoptr (GString) remainder = g_string_new_len (text.data, (gssize) begin);
+  g_string_append_len (remainder, text.data + end, (gssize) (text.len - end));
+  json_t *root = json_loadb (remainder->str, remainder->len, 0, NULL);
   if (json_is_object (root))
     return root;
   json_decref (root);
   return NULL;
 }
 
-/* The last bracket that leaves a page when the elements before it are cut out. */
+/* Finds the last closing bracket with which the page is valid JSON once the elements of its list
+ * are cut out.  Returns that page with an empty list and sets @end to the position of the bracket.
+ */
 static json_t *
-S_find_end (MrText text, gsize begin, gsize *end)
+S_find_list_end (MrText text, gsize begin, gsize *end)
 {
-  guint tried = 0;
-  for (gsize at = text.len; at > begin && tried < ENDS_TRIED; at--)
+  guint candidates = 0;
+  for (gsize at = text.len; at > begin && candidates < END_CANDIDATES_MAX; at--)
     {
       if (text.data[at - 1] != ']')
         continue;
-      tried++;
-      json_t *root = S_load_without (text, begin, at - 1);
+      candidates++;
+      json_t *root = S_load_without_elements (text, begin, at - 1);
       if (!root)
         continue;
       *end = at - 1;
@@ -92,30 +94,30 @@
 static json_t *
 S_read_element (const MrJsonPage *page, const char *list, MrText text, gsize *at)
 {
-  gsize after = *at;
-  json_t *value = S_read_value (text, &after);
+  gsize next = *at;
+  json_t *value = S_read_value (text, &next);
   if (value && page->is_element (list, value))
     {
-      *at = after;
+      *at = next;
       return value;
     }
   json_decref (value);
   return NULL;
 }
 
-/* Where the element after the broken one at @at begins; text.len if it is the
- * last. */
+/* Returns the start of the first valid element after the malformed one at @at; text.len if there is
+ * none. */
 static gsize
-S_next_element (const MrJsonPage *page, const char *list, MrText text, gsize at)
+S_find_next_element (const MrJsonPage *page, const char *list, MrText text, gsize at)
 {
   for (at++; at < text.len; at++)
     {
       if (text.data[at - 1] != ',')
         continue;
       gsize begin = S_skip_spaces (text, at);
-      gsize after = begin;
+      gsize next = begin;
       json_t *value = begin < text.len && text.data[begin] == '{'
-                          ? S_read_element (page, list, text, &after)
+                          ? S_read_element (page, list, text, &next)
                           : NULL;
       json_decref (value);
       if (value)
@@ -125,7 +127,7 @@
 }
 
 static json_t *
-S_read_elements (const MrJsonPage *page, const char *list, MrText text, guint *broken)
+S_read_elements (const MrJsonPage *page, const char *list, MrText text, guint *malformed_count)
 {
   json_t *elements = json_array ();
   gsize at = 0;
@@ -139,10 +141,10 @@
       json_t *value = S_read_element (page, list, text, &at);
       if (!value)
         {
-          gsize next = S_next_element (page, list, text, at);
+          gsize next = S_find_next_element (page, list, text, at);
           value = page->save (list, (MrText){ .data = text.data + at, .len = next - at });
           at = next;
-          (*broken)++;
+          (*malformed_count)++;
         }
       if (value)
         json_array_append_new (elements, value);
@@ -151,27 +153,27 @@
 }
 
 static json_t *
-S_load_list (const MrJsonPage *page, const char *list, MrText text, guint *broken)
+S_load_list (const MrJsonPage *page, const char *list, MrText text, guint *malformed_count)
 {
   gsize begin = S_find_value (text, list);
   gsize end = 0;
   if (begin >= text.len || text.data[begin] != '[')
     return NULL;
   begin++;
-  json_t *root = S_find_end (text, begin, &end);
+  json_t *root = S_find_list_end (text, begin, &end);
   if (!root)
     return NULL;
   MrText elements = { .data = text.data + begin, .len = end - begin };
-  json_object_set_new (root, list, S_read_elements (page, list, elements, broken));
+  json_object_set_new (root, list, S_read_elements (page, list, elements, malformed_count));
   return root;
 }
 
 json_t *
-mr_json_page_load (const MrJsonPage *page, MrText text, guint *broken)
+mr_json_page_load (const MrJsonPage *page, MrText text, guint *malformed_count)
 {
   json_t *root = json_loadb (text.data, text.len, 0, NULL);
   for (const char *const *list = page->lists; !root && *list; list++)
-    root = S_load_list (page, *list, text, broken);
+    root = S_load_list (page, *list, text, malformed_count);
   if (json_is_object (root))
     return root;
   json_decref (root);
--- a/src/json_page.h
+++ b/src/json_page.h
@@ -1,8 +1,7 @@
-/* Reads a page of a list of which single elements may be no JSON.
+/* Parses a page of a JSON list and tolerates malformed elements.
  *
- * Several writers share the platform's store.  One entry with bytes that can't be
- * read must not cost the caller the whole page, which would hide every target
- * that stands on it, again at each reading. */
+ * Several writers share the platform's store.  A single entry that is not valid JSON must not make
+ * the whole page unreadable: all targets listed on it would be missing, at each read again. */
 #pragma once
 
 #include "text.h"
@@ -10,18 +9,19 @@
 
 typedef struct
 {
-  const char *const *lists; /* names of arrays that a page may hold, NULL at the end */
-  /* TRUE if @value can be an element of @list.  Where a broken element ends is
-   * told by the next such value. */
+  const char *const *lists; /* names of the arrays that a page may contain; NULL-terminated */
+  /* Returns TRUE if @value is a possible element of the array @list.  The next such value marks the
+   * end of a malformed element. */
   gboolean (*is_element) (const char *list, const json_t *value);
-  /* What takes the place of a broken element; NULL: nothing. */
-  json_t *(*save) (const char *list, MrText broken);
+  /* Returns a replacement for the malformed element with the text @malformed, or NULL to omit it.
+   */
+  json_t *(*save) (const char *list, MrText malformed);
 } MrJsonPage;
 
-/* The page, an object; NULL if it can't be told where its list ends.  Adds to
- * @broken the count of elements that could not be read. */
-json_t *mr_json_page_load (const MrJsonPage *page, MrText text, guint *broken);
+/* Returns the page as a JSON object, or NULL if @text is no object or the end of its list can't be
+ * found.  Adds the number of malformed elements to @malformed_count. */
+json_t *mr_json_page_load (const MrJsonPage *page, MrText text, guint *malformed_count);
 
-/* The value of the first member @name in @text, which need not be JSON as a
- * whole; NULL if there is none that can be read. */
+/* Returns the value of the first member called @name in @text at any depth, or NULL if there is
+ * none or it is malformed.  The rest of @text need not be valid JSON. */
 json_t *mr_json_find_member (MrText text, const char *name);
