--- a/src/burn.c
+++ b/src/burn.c
@@ -2,45 +2,45 @@
 
 enum
 {
-  CELLS_MAX = 72,
+  BUCKETS_MAX = 72,
   BLAME_MINUTES = 5,
-  BLAMED_MAX = 256, /* targets of a service */
+  BLAMED_MAX = 256, /* blamed targets kept for each service; all are dropped when one more comes */
 };
 
 const gint64 mr_burn_window_seconds[MR_BURN_WINDOWS] = { 300, 3600, 21600, 259200 };
 
-/* Seconds of one cell of each window's ring. */
-static const gint64 cell_seconds[MR_BURN_WINDOWS] = { 10, 60, 300, 3600 };
+/* Duration in seconds of one bucket in the ring of each window. */
+static const gint64 bucket_seconds[MR_BURN_WINDOWS] = { 10, 60, 300, 3600 };
 
 typedef struct
 {
-  gint64 index; /* time divided by the cell's length */
+  gint64 index; /* time divided by the duration of a bucket */
   MrBurnCounts counts;
-} Cell;
+} Bucket;
 
 typedef struct
 {
   char domain[MR_NAME_MAX + 1];
-  gint64 minute[BLAME_MINUTES];
+  gint64 minute[BLAME_MINUTES]; /* minute that the count in the same position belongs to */
   guint64 count[BLAME_MINUTES];
-} Blamed;
+} BlameCounts;
 
 typedef struct
 {
-  Cell cells[MR_BURN_WINDOWS][CELLS_MAX];
-  GHashTable *blamed; /* target -> Blamed */
-} TargetGroup;
+  Bucket buckets[MR_BURN_WINDOWS][BUCKETS_MAX];
+  GHashTable *blamed; /* target -> BlameCounts */
+} ServiceBurn;
 
 struct _MrBurn
 {
   MrTime started;
-  GHashTable *services; /* name -> Service */
+  GHashTable *services; /* name -> ServiceBurn */
 };
 
 static void
 S_service_free (gpointer data)
 {
-  TargetGroup *service = data;
+  ServiceBurn *service = data;
   g_hash_table_unref (service->blamed);
   g_free (service);
 }
@@ -63,83 +63,83 @@
   g_free (burn);
 }
 
-static TargetGroup *
-S_service (MrBurn *burn, const char *name)
+static ServiceBurn *
+S_get_service (MrBurn *burn, const char *name)
 {
-  TargetGroup *service = g_hash_table_lookup (burn->services, name);
+  ServiceBurn *service = g_hash_table_lookup (burn->services, name);
   if (service)
     return service;
-  service = g_new0 (TargetGroup, 1);
+  service = g_new0 (ServiceBurn, 1);
   service->blamed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   g_hash_table_insert (burn->services, g_strdup (name), service);
   return service;
 }
 
 static guint
-S_cell_count (guint window)
+S_bucket_count (guint window)
 {
-  return (guint) (mr_burn_window_seconds[window] / cell_seconds[window]);
+  return (guint) (mr_burn_window_seconds[window] / bucket_seconds[window]);
 }
 
 static void
-S_blame (TargetGroup *service, MrTime now, const MrBurnEvent *event)
+S_add_blame (ServiceBurn *service, MrTime now, const MrBurnEvent *event)
 {
-  Blamed *blamed = g_hash_table_lookup (service->blamed, event->target);
+  BlameCounts *blamed = g_hash_table_lookup (service->blamed, event->target);
   if (!blamed)
     {
       if (g_hash_table_size (service->blamed) >= BLAMED_MAX)
         g_hash_table_remove_all (service->blamed);
-      blamed = g_new0 (Blamed, 1);
+      blamed = g_new0 (BlameCounts, 1);
       g_strlcpy (blamed->domain, event->domain, sizeof blamed->domain);
       g_hash_table_insert (service->blamed, g_strdup (event->target), blamed);
     }
   gint64 minute = now / (60 * MR_SECOND);
-  guint place = (guint) (minute % BLAME_MINUTES);
-  if (blamed->minute[place] != minute)
+  guint slot = (guint) (minute % BLAME_MINUTES);
+  if (blamed->minute[slot] != minute)
     {
-      blamed->minute[place] = minute;
-      blamed->count[place] = 0;
+      blamed->minute[slot] = minute;
+      blamed->count[slot] = 0;
     }
-  blamed->count[place]++;
+  blamed->count[slot]++;
 }
 
 void
 mr_burn_add (MrBurn *burn, MrTime now, const char *name, const MrBurnEvent *event)
 {
-  TargetGroup *service = S_service (burn, name);
+  ServiceBurn *service = S_get_service (burn, name);
   for (guint window = 0; window < MR_BURN_WINDOWS; window++)
     {
-      gint64 index = now / MR_SECOND / cell_seconds[window];
-      Cell *cell = &service->cells[window][index % S_cell_count (window)];
-      if (cell->index != index)
-        *cell = (Cell){ .index = index };
-      cell->counts.total++;
-      cell->counts.slow += event->slow;
-      cell->counts.uncovered += event->uncovered;
-      cell->counts.refused += event->refused;
+      gint64 index = now / MR_SECOND / bucket_seconds[window];
+      Bucket *bucket = &service->buckets[window][index % S_bucket_count (window)];
+      if (bucket->index != index)
+        *bucket = (Bucket){ .index = index };
+      bucket->counts.total++;
+      bucket->counts.slow += event->slow;
+      bucket->counts.uncovered += event->uncovered;
+      bucket->counts.refused += event->refused;
     }
   if (event->target && (event->slow || event->uncovered))
-    S_blame (service, now, event);
+    S_add_blame (service, now, event);
 }
 
 MrBurnCounts
 mr_burn_counts (const MrBurn *burn, MrTime now, const char *name, guint window)
 {
   MrBurnCounts sum = { 0 };
-  const TargetGroup *service = g_hash_table_lookup (burn->services, name);
+  const ServiceBurn *service = g_hash_table_lookup (burn->services, name);
   if (!service)
     return sum;
-  gint64 newest = now / MR_SECOND / cell_seconds[window];
-  guint count = S_cell_count (window);
+  gint64 newest = now / MR_SECOND / bucket_seconds[window];
+  guint count = S_bucket_count (window);
   for (guint i = 0; i < count; i++)
     {
-      const Cell *cell = &service->cells[window][i];
-      if (cell->index <= newest - (gint64) count || cell->index > newest)
+      const Bucket *bucket = &service->buckets[window][i];
+      if (bucket->index <= newest - (gint64) count || bucket->index > newest)
         continue;
-      sum.total += cell->counts.total;
-      sum.slow += cell->counts.slow;
-      sum.uncovered += cell->counts.uncovered;
-      sum.refused += cell->counts.refused;
+      sum.total += bucket->counts.total;
+      sum.slow += bucket->counts.slow;
+      sum.uncovered += bucket->counts.uncovered;
+      sum.refused += bucket->counts.refused;
     }
   return sum;
 }
@@ -158,7 +158,7 @@
     void (*visit) (const char *target, const char *domain, guint64 count, void *user),
     void *user)
 {
-  const TargetGroup *service = g_hash_table_lookup (burn->services, name);
+  const ServiceBurn *service = g_hash_table_lookup (burn->services, name);
   if (!service)
     return;
   gint64 minute = now / (60 * MR_SECOND);
@@ -168,7 +168,7 @@
   g_hash_table_iter_init (&iter, service->blamed);
   while (g_hash_table_iter_next (&iter, &key, &value))
     {
-      const Blamed *blamed = value;
+      const BlameCounts *blamed = value;
       guint64 count = 0;
       for (guint i = 0; i < BLAME_MINUTES; i++)
         if (blamed->minute[i] > minute - BLAME_MINUTES)
--- a/src/operator_pages.c
+++ b/src/operator_pages.c
@@ -165,28 +165,31 @@
 }
 
 GString *
-mr_page_addresses (const MrEntryContext *context, const char *domain, guint most, GRand *random)
+mr_page_addresses (const MrEntryContext *context,
+                   const char *domain,
+                   guint max_count,
+                   GRand *random)
 {
   const MrMemberList *members = context->view->members;
-  g_autoptr (GPtrArray) near = g_ptr_array_new ();
-  g_autoptr (GPtrArray) far = g_ptr_array_new ();
+  g_autoptr (GPtrArray) same_domain = g_ptr_array_new ();
+  g_autoptr (GPtrArray) other_domains = g_ptr_array_new ();
   for (guint i = 0; i < members->count; i++)
     {
       const MrMember *member = &members->members[i];
       if (member->state != MR_MEMBER_ALIVE || member->busy)
         continue;
-      gboolean same = domain && g_str_equal (member->domain, domain);
-      GPtrArray *list = same ? near : far;
-      /* Random insertion, so that callers spread over the entries. */
-      guint place = (guint) g_rand_int_range (random, 0, (gint32) list->len + 1);
-      g_ptr_array_insert (list, (gint) place, (gpointer) member);
+      gboolean is_same = domain && g_str_equal (member->domain, domain);
+      GPtrArray *list = is_same ? same_domain : other_domains;
+      /* Shuffles the list, so that callers spread evenly over the daemons. */
+      guint index = (guint) g_rand_int_range (random, 0, (gint32) list->len + 1);
+      g_ptr_array_insert (list, (gint) index, (gpointer) member);
     }
-  g_ptr_array_extend (near, far, NULL, NULL);
+  g_ptr_array_extend (same_domain, other_domains, NULL, NULL);
   GString *out = g_string_new (NULL);
   g_string_append_printf (out, "{\"keep_ms\":%d,\"addresses\":[", context->settings->keep_ms);
-  for (guint i = 0; i < MIN (near->len, most); i++)
+  for (guint i = 0; i < MIN (same_domain->len, max_count); i++)
     {
-      const MrMember *member = g_ptr_array_index (near, i);
+      const MrMember *member = g_ptr_array_index (same_domain, i);
       g_string_append_printf (
           out, "%s{\"ip\":\"%s\",\"port\":%d,\"domain\":\"%s\",\"name\":\"%s\"}", i > 0 ? "," : "",
           member->ip, member->http_port, member->domain, member->name);
--- a/src/operator_pages.h
+++ b/src/operator_pages.h
@@ -1,12 +1,13 @@
-/* What a daemon tells operators: status, members, burn and metrics, as text. */
+/* Pages that a daemon serves to operators: status, members, error budget burn (JSON) and metrics
+ * (Prometheus text format); also the list of addresses for callers. */
 #pragma once
 
 #include "entry_context.h"
 
 typedef struct
 {
-  guint searches; /* being served */
-  guint orders;
+  guint searches; /* in progress */
+  guint orders;   /* in progress */
   gboolean leaving;
 } MrOperatorCounts;
 
@@ -15,7 +16,10 @@
 GString *mr_page_burn (const MrEntryContext *context, MrTime now);
 GString *mr_page_metrics (const MrEntryContext *context);
 
-/* Addresses for a caller in @domain (NULL: anywhere): up to @most entries that
- * are neither leaving nor busy, near ones first, else in random order. */
-GString *
-mr_page_addresses (const MrEntryContext *context, const char *domain, guint most, GRand *random);
+/* Returns the addresses of up to @max_count daemons that are neither leaving nor busy, for a caller
+ * in the failure domain @domain (NULL: unknown).  Daemons of that domain come first; the order is
+ * random otherwise. */
+GString *mr_page_addresses (const MrEntryContext *context,
+                            const char *domain,
+                            guint max_count,
+                            GRand *random);
