--- a/src/ctl.c
+++ b/src/ctl.c
@@ -1,4 +1,4 @@
-/* merlinringctl: what operators type. */
+/* merlinringctl: command line and dispatch to the subcommands. */
 
 #include "ctl.h"
 
@@ -7,54 +7,60 @@
 #include <stdlib.h>
 
 static const CtlCommand commands[] = {
-  { "document get", "SERVICE", "Print the operators' document and its version",
+  { "document get", "SERVICE", "Print the document of a service, its version and status",
     "merlinringctl document get shop-search", ctl_document_get },
   { "document check", "SERVICE FILE", "Check a document without writing it",
     "merlinringctl document check shop-search shop.json", ctl_document_check },
-  { "document diff", "SERVICE FILE", "Show what FILE would change",
+  { "document diff", "SERVICE FILE", "Show the changes that FILE would make to the document",
     "merlinringctl document diff shop-search shop.json", ctl_document_diff },
   { "document apply", "SERVICE FILE",
-    "Write a document, conditional on --version or on the version just read",
+    "Write a document if the current version is still --version, or the one just read",
     "merlinringctl document apply --wait shop-search shop.json", ctl_document_apply },
   { "document edit", "SERVICE KEY=VALUE...",
-    "Change keys of a document, conditional on the version read",
+    "Change keys of a document if it is not edited concurrently",
     "merlinringctl document edit shop-search deadline_ms=200 "
     "objectives.latency_ms=120",
     ctl_document_edit },
-  { "status", "", "What each daemon serves, and which documents are in force",
+  { "status", "", "Show the state of each daemon, its services and the documents in force",
     "merlinringctl status", ctl_status },
-  { "members", "", "The daemons as the entry sees them", "merlinringctl members",
+  { "members", "", "List the daemons as the entry daemon sees them", "merlinringctl members",
     ctl_members_show },
-  { "targets", "", "The targets as each daemon sees them", "merlinringctl targets --json",
+  { "targets", "", "List the targets as each daemon sees them", "merlinringctl targets --json",
     ctl_targets },
-  { "addresses", "", "The addresses a caller would be handed",
+  { "addresses", "", "List the daemon addresses that a caller would get",
     "merlinringctl addresses --domain domain-a", ctl_addresses },
-  { "search", "SERVICE WORDS...", "Search as a caller would",
+  { "search", "SERVICE WORDS...", "Send a search as a caller does",
     "merlinringctl search --class urgent shop-search ripe round", ctl_search },
   { "ticket", "SERVICE", "Get a ticket for an order", "merlinringctl ticket shop-search",
     ctl_ticket },
-  { "order", "SERVICE JSON", "Place an order; takes a ticket first unless --ticket names one",
+  { "order", "SERVICE JSON", "Send an order, with the ticket of --ticket or else a new one",
     "merlinringctl order shop-search '{\"record\":\"r17\"}'", ctl_order },
-  { "metrics", "", "The entry daemon's counters", "merlinringctl metrics", ctl_metrics },
-  { "burn", "[SERVICE]", "Service-level burn over 5 minutes to 3 days, over all daemons",
+  { "metrics", "", "Print the metrics of the entry daemon", "merlinringctl metrics", ctl_metrics },
+  { "burn", "[SERVICE]",
+    "Show the error budget burn over 5 minutes to 3 days, summed over all daemons",
     "merlinringctl burn shop-search", ctl_burn },
   { "quarantine show", "",
-    "Contents under which targets ended, as the relay whose metrics are at --entry knows them",
+    "List request contents while serving which targets crashed, as known to the relay with the "
+    "metrics port --entry",
     "merlinringctl quarantine show --entry 10.0.0.11:9100", ctl_quarantine },
-  { "quarantine lift", "CONTENT", "Let a content be sent to targets again, by its fingerprint",
+  { "quarantine lift", "CONTENT",
+    "Release the content with this fingerprint from quarantine, so that it is sent to targets "
+    "again",
     "merlinringctl quarantine lift --entry 10.0.0.11:9100 6ea12fb25cac794dad0efd1471deb818",
     ctl_quarantine_lift },
   { "evacuate", "DOMAIN",
-    "Give the targets of a failure domain no new work, until --undo takes it back",
+    "Send no new calls to the targets of a failure domain, until this is ended with --undo",
     "merlinringctl evacuate rack-a", ctl_evacuate },
-  { "evacuations", "", "Evacuated failure domains: since when, and held by how many daemons",
+  { "evacuations", "",
+    "List evacuated failure domains: since when, and how many daemons know of it",
     "merlinringctl evacuations", ctl_evacuations },
   { "explain", "REQUEST-ID [FILE...]",
-    "A relayed request's story and the cause of its outcome, from log lines (standard input "
-    "without files)",
+    "Show the calls of a relayed request and the cause of its outcome, from log lines (read from "
+    "standard input without FILE)",
     "merlinringctl explain 9c41d07be2a35f68 /var/log/relay-*.log", ctl_explain },
   { "report", "[FILE...]",
-    "Latency, hedges and retries, refusals by cause and spread of configurations, from log lines",
+    "Summarise latency, hedges and retries, refusals by cause and the rollout of configurations, "
+    "from log lines",
     "merlinringctl report --svg run.svg /var/log/relay-*.log", ctl_report },
 };
 
@@ -79,7 +85,7 @@
   KEY_TIMEOUT = 1000,
   KEY_CLASS,
   KEY_DEADLINE,
-  KEY_K,
+  KEY_HITS,
   KEY_DOMAIN,
   KEY_TICKET,
   KEY_VERSION,
@@ -92,12 +98,12 @@
   { .name = "entry",
     .key = KEY_ENTRY,
     .arg = "IP:PORT",
-    .doc = "A daemon's address for callers (MERLINRING_ENTRY, default "
+    .doc = "Address at which a daemon serves callers (MERLINRING_ENTRY, default "
            "127.0.0.1:8080)" },
   { .name = "platform",
     .key = KEY_PLATFORM,
     .arg = "IP:PORT",
-    .doc = "The platform's object API (MERLINRING_PLATFORM, default "
+    .doc = "Address of the platform's object API (MERLINRING_PLATFORM, default "
            "127.0.0.1:7000)" },
   { .name = "json", .key = KEY_JSON, .doc = "Print JSON" },
   { .name = "wait",
@@ -106,50 +112,46 @@
   { .name = "timeout-ms",
     .key = KEY_TIMEOUT,
     .arg = "MS",
-    .doc = "Longest wait for an answer (default 5000)" },
+    .doc = "Timeout for a response in ms (default 5000)" },
   { .name = "class",
     .key = KEY_CLASS,
     .arg = "CLASS",
     .doc = "search: urgent, interactive or browsing" },
   { .name = "deadline-ms", .key = KEY_DEADLINE, .arg = "MS", .doc = "search, order: deadline" },
-  { .name = "hits", .key = KEY_K, .arg = "N", .doc = "search: most hits" },
+  { .name = "hits", .key = KEY_HITS, .arg = "N", .doc = "search: maximum number of hits" },
   { .name = "domain",
     .key = KEY_DOMAIN,
     .arg = "NAME",
     .doc = "addresses: the caller's failure domain" },
-  { .name = "ticket", .key = KEY_TICKET, .arg = "TICKET", .doc = "order: present this ticket" },
+  { .name = "ticket", .key = KEY_TICKET, .arg = "TICKET", .doc = "order: use this ticket" },
   { .name = "version",
     .key = KEY_VERSION,
     .arg = "N",
-    .doc = "document apply, edit: the version that the edit is based on" },
-  { .name = "undo", .key = KEY_UNDO, .doc = "evacuate: let the domain be used again" },
+    .doc = "document apply, edit: version that the edit is based on" },
+  { .name = "undo", .key = KEY_UNDO, .doc = "evacuate: end the evacuation of the domain" },
   { .name = "svg", .key = KEY_SVG, .arg = "FILE", .doc = "report: write plots to FILE" },
   { 0 },
 };
 
 static error_t
-S_parse (int key, char *arg, struct argp_state *state)
+S_parse_option (int key, char *arg, struct argp_state *state)
 {
   CtlOptions *options = state->input;
   const struct
   {
     int key;
-    const char **place;
-  } texts[] = {
-    { KEY_ENTRY, &options->entry },
-    { KEY_PLATFORM, &options->platform },
-    { KEY_CLASS, &options->traffic_class },
-    { KEY_DEADLINE, &options->deadline_ms },
-    { KEY_K, &options->k },
-    { KEY_DOMAIN, &options->domain },
-    { KEY_TICKET, &options->ticket },
-    { KEY_SVG, &options->svg },
+    const char **value;
+  } string_options[] = {
+    { KEY_ENTRY, &options->entry },         { KEY_PLATFORM, &options->platform },
+    { KEY_CLASS, &options->traffic_class }, { KEY_DEADLINE, &options->deadline_ms },
+    { KEY_HITS, &options->hit_count },      { KEY_DOMAIN, &options->domain },
+    { KEY_TICKET, &options->ticket },       { KEY_SVG, &options->svg },
     { KEY_VERSION, &options->version },
   };
-  for (size_t i = 0; i < G_N_ELEMENTS (texts); i++)
-    if (texts[i].key == key)
+  for (size_t i = 0; i < G_N_ELEMENTS (string_options); i++)
+    if (string_options[i].key == key)
       {
-        *texts[i].place = arg;
+        *string_options[i].value = arg;
         return 0;
       }
   if (key == KEY_JSON)
@@ -170,20 +172,21 @@
   return 0;
 }
 
-/* The command that the first words name; @words: how many. */
+/* Returns the command that the first arguments name, or NULL, and sets @word_count to the number of
+ * words in its name. */
 static const CtlCommand *
-S_find (int argc, char **argv, int *words)
+S_find_command (int argc, char **argv, int *word_count)
 {
   for (size_t i = 0; i < G_N_ELEMENTS (commands); i++)
     {
       g_auto (GStrv) parts = g_strsplit (commands[i].name, " ", 2);
-      *words = (int) g_strv_length (parts);
-      if (argc < *words)
+      *word_count = (int) g_strv_length (parts);
+      if (argc < *word_count)
         continue;
-      gboolean same = TRUE;
-      for (int w = 0; w < *words; w++)
-        same = same && g_str_equal (parts[w], argv[w]);
-      if (same)
+      gboolean matches = TRUE;
+      for (int w = 0; w < *word_count; w++)
+        matches = matches && g_str_equal (parts[w], argv[w]);
+      if (matches)
         return &commands[i];
     }
   return NULL;
@@ -196,21 +199,22 @@
   for (size_t i = 0; i < G_N_ELEMENTS (commands); i++)
     g_string_append_printf (text, "  %s %s\n      %s\n", commands[i].name, commands[i].arguments,
                             commands[i].help);
-  g_string_append (text, "\nExit codes: 0 done, 1 not reached or failed, 2 wrong command line or "
-                         "invalid document, 3 lost race, 4 not run, 5 may have run, 6 partial "
-                         "answer.  'merlinringctl COMMAND --help' shows an example.");
+  g_string_append (text,
+                   "\nExit codes: 0 success, 1 unreachable or failed, 2 wrong command line or "
+                   "invalid document, 3 concurrent edit, 4 not run, 5 may have run, 6 partial "
+                   "answer.  'merlinringctl COMMAND --help' shows an example.");
   return g_string_free (text, FALSE);
 }
 
-/* TRUE if the help of one command was asked for and printed. */
+/* Prints the help of a subcommand if --help was given with it, and returns TRUE if so. */
 static gboolean
-S_command_help (int argc, char **argv)
+S_print_command_help (int argc, char **argv)
 {
-  gboolean asked = FALSE;
+  gboolean requested = FALSE;
   for (int i = 1; i < argc; i++)
-    asked = asked || g_str_equal (argv[i], "--help") || g_str_equal (argv[i], "-?");
+    requested = requested || g_str_equal (argv[i], "--help") || g_str_equal (argv[i], "-?");
   int words = 0;
-  const CtlCommand *command = asked ? S_find (argc - 1, argv + 1, &words) : NULL;
+  const CtlCommand *command = requested ? S_find_command (argc - 1, argv + 1, &words) : NULL;
   if (!command)
     return FALSE;
   printf ("Usage: merlinringctl [OPTION...] %s %s\n%s.\n\nExample:\n  %s\n\n"
@@ -220,7 +224,7 @@
 }
 
 static const char *
-S_variable (const char *name, const char *fallback)
+S_get_variable (const char *name, const char *fallback)
 {
   const char *value = getenv (name);
   return value ? value : fallback;
@@ -230,29 +234,30 @@
 main (int argc, char **argv)
 {
   CtlOptions options = {
-    .entry = S_variable ("MERLINRING_ENTRY", "127.0.0.1:8080"),
-    .platform = S_variable ("MERLINRING_PLATFORM", "127.0.0.1:7000"),
+    .entry = S_get_variable ("MERLINRING_ENTRY", "127.0.0.1:8080"),
+    .platform = S_get_variable ("MERLINRING_PLATFORM", "127.0.0.1:7000"),
     .timeout_ms = TIMEOUT_DEFAULT_MS,
   };
-  if (S_command_help (argc, argv))
+  if (S_print_command_help (argc, argv))
     return CTL_OK;
   g_autofree char *help = S_help_text ();
-  g_autofree char *doc = g_strconcat ("Control of merlinring.\v", help, NULL);
+  g_autofree char *doc =
+      g_strconcat ("Command-line client for operators of merlinring.\v", help, NULL);
   struct argp argp = {
     .options = argp_options,
-    .parser = S_parse,
+    .parser = S_parse_option,
     .args_doc = "COMMAND [ARGUMENT...]",
     .doc = doc,
   };
   argp_err_exit_status = CTL_USAGE;
   argp_parse (&argp, argc, argv, 0, NULL, &options);
   if (options.timeout_ms < 1)
-    return ctl_fail (CTL_USAGE, "--timeout-ms: expected a whole number from 1");
+    return ctl_fail (CTL_USAGE, "--timeout-ms: expected a positive integer");
   int words = 0;
-  const CtlCommand *command = S_find (options.argc, options.argv, &words);
+  const CtlCommand *command = S_find_command (options.argc, options.argv, &words);
   if (!command)
     return ctl_fail (CTL_USAGE, "%s%s; see merlinringctl --help",
-                     options.argc ? "no such command: " : "a command is missing",
+                     options.argc ? "unknown command: " : "missing command",
                      options.argc ? options.argv[0] : "");
   options.argc -= words;
   options.argv += words;
--- a/src/ctl.h
+++ b/src/ctl.h
@@ -1,4 +1,4 @@
-/* Shared by the sub-commands of merlinringctl. */
+/* Declarations shared by the subcommands of merlinringctl. */
 #pragma once
 
 #include "status.h"
@@ -9,12 +9,12 @@
 typedef enum
 {
   CTL_OK = 0,
-  CTL_FAILED = 1,   /* the other side could not be reached or failed */
+  CTL_FAILED = 1,   /* the server could not be reached, or failed */
   CTL_USAGE = 2,    /* wrong command line or invalid document */
-  CTL_CONFLICT = 3, /* somebody else's edit came first */
-  CTL_NOT_RUN = 4,  /* refused; it did not run */
-  CTL_UNKNOWN = 5,  /* it may have run */
-  CTL_PARTIAL = 6,  /* the answer does not cover the whole */
+  CTL_CONFLICT = 3, /* a concurrent edit was written first */
+  CTL_NOT_RUN = 4,  /* refused; the request did not run */
+  CTL_UNKNOWN = 5,  /* the request may have run */
+  CTL_PARTIAL = 6,  /* the answer does not cover all shards */
 } CtlExit;
 
 typedef struct
@@ -22,17 +22,17 @@
   const char *entry;    /* "ip:port" of a daemon */
   const char *platform; /* "ip:port" of the object API */
   gboolean json;
-  gboolean undo; /* evacuate: take it back */
-  gboolean wait; /* document apply, edit: until in force on every member */
+  gboolean undo; /* evacuate: end the evacuation */
+  gboolean wait; /* document apply, edit: wait until in force on every member */
   int timeout_ms;
   const char *traffic_class;
   const char *deadline_ms;
-  const char *k;
+  const char *hit_count;
   const char *domain;
   const char *ticket;
   const char *version;
-  const char *svg; /* report: file for the plots */
-  int argc;        /* words after the sub-command */
+  const char *svg; /* report: file to write the plots to */
+  int argc;        /* arguments after the subcommand */
   char **argv;
 } CtlOptions;
 
@@ -45,27 +45,29 @@
   CtlExit (*run) (const CtlOptions *options);
 } CtlCommand;
 
-/* Prints "merlinringctl: ..." to standard error and returns @exit_code. */
+/* Prints an error message to standard error, after "merlinringctl: ", and returns @exit_code. */
 CtlExit ctl_fail (CtlExit exit_code, const char *format, ...) G_GNUC_PRINTF (2, 3);
 
-/* One HTTP exchange with @address; MR_ERROR_UNAVAILABLE if nothing was sent,
- * MR_ERROR_OUTCOME_UNKNOWN if no whole answer came.  @body may be empty. */
-MrStatus ctl_http (const CtlOptions *options,
-                   const char *address,
-                   const char *method,
-                   const char *path,
-                   MrText body,
-                   int *status,
-                   GString *answer);
-
-/* GET of a page of the entry daemon as JSON; NULL after a message. */
+/* Sends one HTTP request to @address ("ip:port") and waits for the response, up to the timeout of
+ * @options.  @body may be empty.  Fails with MR_ERROR_UNAVAILABLE if nothing was sent, with
+ * MR_ERROR_OUTCOME_UNKNOWN if no complete response came. */
+MrStatus ctl_send_request (const CtlOptions *options,
+                           const char *address,
+                           const char *method,
+                           const char *path,
+                           MrText body,
+                           int *status,
+                           GString *answer);
+
+/* Fetches @path from @address and parses it as JSON; returns NULL after printing an error. */
 json_t *ctl_get_json (const CtlOptions *options, const char *address, const char *path);
 
-/* Prints @root as JSON, indented. */
+/* Prints @root as indented JSON. */
 void ctl_print_json (const json_t *root);
 
-/* "ip:port" of every member that serves; NULL after a message. */
-GPtrArray *ctl_members (const CtlOptions *options);
+/* Returns "ip:port" of every member that is neither dead nor has left, as the entry daemon knows
+ * them; NULL after printing an error. */
+GPtrArray *ctl_get_member_addresses (const CtlOptions *options);
 
 CtlExit ctl_document_get (const CtlOptions *options);
 CtlExit ctl_document_apply (const CtlOptions *options);
@@ -88,22 +90,24 @@
 CtlExit ctl_evacuate (const CtlOptions *options);
 CtlExit ctl_evacuations (const CtlOptions *options);
 
-/* Calls @add with each line of @file that holds a JSON object; other lines are
- * passed over, since collected logs hold others too.  @line is borrowed. */
-void ctl_read_lines (FILE *file, void (*add) (json_t *line, void *user), void *user);
+/* Calls @add with each log line of @file, parsed; @add must not release it.  Lines without a JSON
+ * object that has an event are skipped, as collected logs contain lines of other programs too. Text
+ * before the object, such as the prefix of a log collector, is skipped as well. */
+void ctl_read_log_stream (FILE *file, void (*add) (json_t *line, void *user), void *user);
 
-/* The text at @key of a log line, or of what a daemon says; empty if it is not there. */
-const char *ctl_line_text (const json_t *line, const char *key);
+/* Returns the string member @key of @object, a log line or a daemon's page; "" if there is none. */
+const char *ctl_json_string (const json_t *object, const char *key);
 
-/* Requests that a relayed request's line stands for: plain answers are sampled. */
+/* Returns the number of requests that the log line of a relayed request represents.  Complete
+ * answers without hedges or retries are sampled; all other lines represent one request. */
 guint ctl_line_weight (const json_t *line);
 
-/* The number at @key; 0 if it is not there. */
-json_int_t ctl_line_number (const json_t *line, const char *key);
+/* Returns the integer member @key of @object; 0 if there is none. */
+json_int_t ctl_json_integer (const json_t *object, const char *key);
 
-/* Adds @count to what @table (text -> count) holds at @key. */
-void ctl_count (GHashTable *table, const char *key, guint count);
+/* Adds @count to the entry @key of @table, which maps strings to counts. */
+void ctl_add_count (GHashTable *table, const char *key, guint count);
 
-/* Reads standard input if @files is empty. */
+/* Calls @add as above with the log lines of all @files; of standard input if @count is 0. */
 CtlExit
-ctl_read_files (int count, char **files, void (*add) (json_t *line, void *user), void *user);
+ctl_read_log_files (int count, char **files, void (*add) (json_t *line, void *user), void *user);
--- a/src/ctl_burn.c
+++ b/src/ctl_burn.c
@@ -11,21 +11,21 @@
 
 static const char *const objective_names[OBJECTIVES] = { "latency", "coverage", "refused" };
 
-/* One service, summed over the daemons. */
+/* Counts of one service, summed over all daemons. */
 typedef struct
 {
   char *name;
-  double allowed[OBJECTIVES]; /* share of requests that may be bad */
+  double allowed[OBJECTIVES]; /* fraction of requests that may be bad */
   MrBurnCounts counts[MR_BURN_WINDOWS];
-  gint64 covered[MR_BURN_WINDOWS]; /* longest history of any daemon, s */
-  GHashTable *targets;             /* name -> count */
-  GHashTable *domains;
-} TargetGroup;
+  gint64 covered_seconds[MR_BURN_WINDOWS]; /* of the daemon that covers most */
+  GHashTable *targets;                     /* blamed target -> count of requests */
+  GHashTable *domains;                     /* the same by failure domain */
+} ServiceBurn;
 
 static void
 S_service_free (gpointer data)
 {
-  TargetGroup *service = data;
+  ServiceBurn *service = data;
   g_free (service->name);
   g_hash_table_unref (service->targets);
   g_hash_table_unref (service->domains);
@@ -33,7 +33,7 @@
 }
 
 static guint64
-S_integer (const json_t *object, const char *key)
+S_get_integer (const json_t *object, const char *key)
 {
   return (guint64) json_integer_value (json_object_get (object, key));
 }
@@ -46,63 +46,64 @@
 }
 
 static void
-S_add_service (GHashTable *services, const json_t *part)
+S_add_service (GHashTable *services, const json_t *service_json)
 {
-  const char *name = json_string_value (json_object_get (part, "service"));
-  TargetGroup *service = g_hash_table_lookup (services, name);
+  const char *name = json_string_value (json_object_get (service_json, "service"));
+  ServiceBurn *service = g_hash_table_lookup (services, name);
   if (!service)
     {
-      service = g_new0 (TargetGroup, 1);
+      service = g_new0 (ServiceBurn, 1);
       service->name = g_strdup (name);
       service->targets = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
       service->domains = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
       g_hash_table_insert (services, service->name, service);
     }
-  const json_t *objectives = json_object_get (part, "objectives");
+  const json_t *objectives = json_object_get (service_json, "objectives");
   service->allowed[0] = 1 - json_number_value (json_object_get (objectives, "latency"));
   service->allowed[1] = 1 - json_number_value (json_object_get (objectives, "coverage"));
   service->allowed[2] = json_number_value (json_object_get (objectives, "refused"));
   for (guint w = 0; w < MR_BURN_WINDOWS; w++)
     {
-      const json_t *window = json_array_get (json_object_get (part, "windows"), w);
-      service->counts[w].total += S_integer (window, "total");
-      service->counts[w].slow += S_integer (window, "slow");
-      service->counts[w].uncovered += S_integer (window, "uncovered");
-      service->counts[w].refused += S_integer (window, "refused");
-      service->covered[w] =
-          MAX (service->covered[w], (gint64) S_integer (window, "covered_seconds"));
+      const json_t *window = json_array_get (json_object_get (service_json, "windows"), w);
+      service->counts[w].total += S_get_integer (window, "total");
+      service->counts[w].slow += S_get_integer (window, "slow");
+      service->counts[w].uncovered += S_get_integer (window, "uncovered");
+      service->counts[w].refused += S_get_integer (window, "refused");
+      service->covered_seconds[w] =
+          MAX (service->covered_seconds[w], (gint64) S_get_integer (window, "covered_seconds"));
     }
   size_t i = 0;
   json_t *blamed = NULL;
-  json_array_foreach (json_object_get (part, "blamed"), i, blamed)
+  json_array_foreach (json_object_get (service_json, "blamed"), i, blamed)
   {
     S_add_count (service->targets, json_string_value (json_object_get (blamed, "target")),
-                 S_integer (blamed, "count"));
+                 S_get_integer (blamed, "count"));
     S_add_count (service->domains, json_string_value (json_object_get (blamed, "domain")),
-                 S_integer (blamed, "count"));
+                 S_get_integer (blamed, "count"));
   }
 }
 
+/* Returns the key with the highest count in @table, or NULL. */
 static const char *
-S_worst (GHashTable *table)
+S_most_blamed (GHashTable *table)
 {
   GHashTableIter iter;
   gpointer key = NULL;
   gpointer count = NULL;
   const char *worst = NULL;
-  gsize most = 0;
+  gsize max_count = 0;
   g_hash_table_iter_init (&iter, table);
   while (g_hash_table_iter_next (&iter, &key, &count))
-    if (GPOINTER_TO_SIZE (count) > most)
+    if (GPOINTER_TO_SIZE (count) > max_count)
       {
-        most = GPOINTER_TO_SIZE (count);
+        max_count = GPOINTER_TO_SIZE (count);
         worst = key;
       }
   return worst;
 }
 
 static MrBurnRate
-S_rate (const TargetGroup *service, guint objective, guint window)
+S_rate (const ServiceBurn *service, guint objective, guint window)
 {
   const MrBurnCounts *counts = &service->counts[window];
   const guint64 bad[OBJECTIVES] = { counts->slow, counts->uncovered, counts->refused };
@@ -113,7 +114,7 @@
 }
 
 static void
-S_print_service (const TargetGroup *service)
+S_print_service (const ServiceBurn *service)
 {
   static const char *const labels[MR_BURN_WINDOWS] = { "5 min", "1 h", "6 h", "3 days" };
   printf ("%s\n", service->name);
@@ -129,19 +130,19 @@
                 rate.rate, bar, rate.budget_left * 100);
         if (rate.hours_to_empty >= 0)
           printf (", empty in %.1f h", rate.hours_to_empty);
-        if (service->covered[w] < mr_burn_window_seconds[w])
-          printf (" (only %" G_GINT64_FORMAT " s seen: restarts lose the past)",
-                  service->covered[w]);
+        if (service->covered_seconds[w] < mr_burn_window_seconds[w])
+          printf (" (counts cover only %" G_GINT64_FORMAT " s: a restart loses earlier ones)",
+                  service->covered_seconds[w]);
         putchar ('\n');
       }
-  const char *target = S_worst (service->targets);
-  const char *domain = S_worst (service->domains);
+  const char *target = S_most_blamed (service->targets);
+  const char *domain = S_most_blamed (service->domains);
   printf ("  worst target %s, worst failure domain %s (last 5 min)\n", target ? target : "none",
           domain ? domain : "none");
 }
 
 static json_t *
-S_service_json (const TargetGroup *service)
+S_service_json (const ServiceBurn *service)
 {
   json_t *objectives = json_object ();
   for (guint o = 0; o < OBJECTIVES; o++)
@@ -153,7 +154,7 @@
           json_array_append_new (
               windows, json_pack ("{s:I, s:I, s:I, s:f, s:f, s:f, s:f}", "seconds",
                                   (json_int_t) mr_burn_window_seconds[w], "covered_seconds",
-                                  (json_int_t) service->covered[w], "total",
+                                  (json_int_t) service->covered_seconds[w], "total",
                                   (json_int_t) service->counts[w].total, "bad_share",
                                   rate.bad_share, "burn", rate.rate, "budget_left",
                                   rate.budget_left, "hours_to_empty", rate.hours_to_empty));
@@ -161,8 +162,8 @@
       json_object_set_new (objectives, objective_names[o], windows);
     }
   return json_pack ("{s:s, s:o, s:s?, s:s?}", "service", service->name, "objectives", objectives,
-                    "worst_target", S_worst (service->targets), "worst_domain",
-                    S_worst (service->domains));
+                    "worst_target", S_most_blamed (service->targets), "worst_domain",
+                    S_most_blamed (service->domains));
 }
 
 CtlExit
@@ -170,27 +171,27 @@
 {
   if (options->argc > 1)
     return ctl_fail (CTL_USAGE, "expected: merlinringctl burn [SERVICE]");
-  GPtrArray *members = ctl_members (options);
-  if (!members)
+  GPtrArray *addresses = ctl_get_member_addresses (options);
+  if (!addresses)
     return CTL_FAILED;
   g_autoptr (GHashTable) services =
       g_hash_table_new_full (g_str_hash, g_str_equal, NULL, S_service_free);
-  for (guint m = 0; m < members->len; m++)
+  for (guint m = 0; m < addresses->len; m++)
     {
-      json_t *root = ctl_get_json (options, g_ptr_array_index (members, m), "/v1/burn");
+      json_t *root = ctl_get_json (options, g_ptr_array_index (addresses, m), "/v1/burn");
       size_t i = 0;
-      json_t *part = NULL;
-      json_array_foreach (json_object_get (root, "services"), i, part)
+      json_t *service_json = NULL;
+      json_array_foreach (json_object_get (root, "services"), i, service_json)
       {
-        const char *name = json_string_value (json_object_get (part, "service"));
+        const char *name = json_string_value (json_object_get (service_json, "service"));
         if (name && (options->argc == 0 || g_str_equal (name, options->argv[0])))
-          S_add_service (services, part);
+          S_add_service (services, service_json);
       }
       json_decref (root);
     }
-  g_ptr_array_unref (members);
+  g_ptr_array_unref (addresses);
   if (options->argc == 1 && g_hash_table_size (services) == 0)
-    return ctl_fail (CTL_FAILED, "service '%s': no daemon serves it", options->argv[0]);
+    return ctl_fail (CTL_FAILED, "service '%s': not served by any daemon", options->argv[0]);
   json_t *list = json_array ();
   GHashTableIter iter;
   gpointer service = NULL;
--- a/src/ctl_evacuation.c
+++ b/src/ctl_evacuation.c
@@ -11,22 +11,26 @@
   STATUS_CONFLICT = 409,
 };
 
-/* One call on the object of @domain at the platform, with @query behind its path. */
+/* Sends a request for the evacuation object of @domain to the platform.  @query is appended to its
+ * path.  Returns CTL_OK also for the statuses 404 and 409, which @status tells. */
 static CtlExit
-S_call (const CtlOptions *options,
-        const char *method,
-        const char *domain,
-        const char *query,
-        MrText body,
-        int *status,
-        GString *answer)
+S_call_platform (const CtlOptions *options,
+                 const char *method,
+                 const char *domain,
+                 const char *query,
+                 MrText body,
+                 int *status,
+                 GString *answer)
 {
   g_autofree char *path = g_strdup_printf ("/v1/objects/evacuations/%s%s", domain, query);
   g_string_truncate (answer, 0);
-  MrStatus result = ctl_http (options, options->platform, method, path, body, status, answer);
+  MrStatus result =
+      ctl_send_request (options, options->platform, method, path, body, status, answer);
   if (result == MR_ERROR_OUTCOME_UNKNOWN)
-    return ctl_fail (CTL_UNKNOWN, "platform %s: no answer; see 'merlinringctl evacuations'",
-                     options->platform);
+    return ctl_fail (
+        CTL_UNKNOWN,
+        "platform %s: no response; the outcome is shown by 'merlinringctl evacuations'",
+        options->platform);
   if (result != MR_OK)
     return ctl_fail (CTL_FAILED, "%s", mr_status_message ());
   if (*status == STATUS_OK || *status == STATUS_NOT_FOUND || *status == STATUS_CONFLICT)
@@ -35,37 +39,39 @@
 }
 
 static CtlExit
-S_begin (const CtlOptions *options, const char *domain)
+S_evacuate (const CtlOptions *options, const char *domain)
 {
   int status = 0;
   g_autoptr (GString) answer = g_string_new (NULL);
   g_autofree char *body = g_strdup_printf ("{\"since\":%u}", mr_unix_time ());
-  CtlExit result = S_call (options, "PUT", domain, "?version=0", mr_text (body), &status, answer);
+  CtlExit result =
+      S_call_platform (options, "PUT", domain, "?version=0", mr_text (body), &status, answer);
   if (result != CTL_OK)
     return result;
-  printf (status == STATUS_CONFLICT ? "%s is evacuated already\n" : "%s is evacuated\n", domain);
+  printf (status == STATUS_CONFLICT ? "%s is already evacuated\n" : "%s is evacuated\n", domain);
   return CTL_OK;
 }
 
 static CtlExit
-S_undo (const CtlOptions *options, const char *domain)
+S_end_evacuation (const CtlOptions *options, const char *domain)
 {
   int status = 0;
   g_autoptr (GString) answer = g_string_new (NULL);
-  CtlExit result = S_call (options, "GET", domain, "", (MrText){ 0 }, &status, answer);
+  CtlExit result = S_call_platform (options, "GET", domain, "", (MrText){ 0 }, &status, answer);
   if (result != CTL_OK)
     return result;
   if (status == STATUS_NOT_FOUND)
     return ctl_fail (CTL_FAILED, "%s is not evacuated", domain);
   json_t *object = json_loadb (answer->str, answer->len, 0, NULL);
   g_autofree char *query =
-      g_strdup_printf ("?version=%" JSON_INTEGER_FORMAT, ctl_line_number (object, "version"));
+      g_strdup_printf ("?version=%" JSON_INTEGER_FORMAT, ctl_json_integer (object, "version"));
   json_decref (object);
-  result = S_call (options, "DELETE", domain, query, (MrText){ 0 }, &status, answer);
+  result = S_call_platform (options, "DELETE", domain, query, (MrText){ 0 }, &status, answer);
   if (result != CTL_OK)
     return result;
   if (status == STATUS_CONFLICT)
-    return ctl_fail (CTL_CONFLICT, "%s: somebody else's word came first", domain);
+    return ctl_fail (CTL_CONFLICT, "%s: changed concurrently; the evacuation was not ended",
+                     domain);
   printf ("%s may be used again\n", domain);
   return CTL_OK;
 }
@@ -79,24 +85,25 @@
   if (!mr_name_valid (mr_text (domain)))
     return ctl_fail (CTL_USAGE, "domain '%s': expected 1 to %d of a-z, 0-9 and '-'", domain,
                      MR_NAME_MAX);
-  return options->undo ? S_undo (options, domain) : S_begin (options, domain);
+  return options->undo ? S_end_evacuation (options, domain) : S_evacuate (options, domain);
 }
 
-/* Listing. */
+/* Listing of evacuations. */
 
-/* What each daemon that answers holds: domain -> array of daemons' names. */
+/* Asks all daemons which evacuations they know: domain -> array of names of daemons.  Sets @daemons
+ * to the number of those that responded. */
 static json_t *
-S_held (const CtlOptions *options, guint *daemons)
+S_get_holders (const CtlOptions *options, guint *daemons)
 {
-  GPtrArray *members = ctl_members (options);
-  if (!members)
+  GPtrArray *addresses = ctl_get_member_addresses (options);
+  if (!addresses)
     return NULL;
-  json_t *held = json_object ();
-  for (guint i = 0; i < members->len; i++)
+  json_t *holders = json_object ();
+  for (guint i = 0; i < addresses->len; i++)
     {
       size_t at = 0;
       json_t *domain = NULL;
-      json_t *page = ctl_get_json (options, g_ptr_array_index (members, i), "/v1/status");
+      json_t *page = ctl_get_json (options, g_ptr_array_index (addresses, i), "/v1/status");
       if (!page)
         continue;
       (*daemons)++;
@@ -105,20 +112,21 @@
         const char *name = json_string_value (domain);
         if (!name)
           continue;
-        if (!json_object_get (held, name))
-          json_object_set_new (held, name, json_array ());
-        json_array_append_new (json_object_get (held, name),
-                               json_string (ctl_line_text (page, "daemon")));
+        if (!json_object_get (holders, name))
+          json_object_set_new (holders, name, json_array ());
+        json_array_append_new (json_object_get (holders, name),
+                               json_string (ctl_json_string (page, "daemon")));
       }
       json_decref (page);
     }
-  g_ptr_array_unref (members);
-  return held;
+  g_ptr_array_unref (addresses);
+  return holders;
 }
 
-/* Objects that stand at the platform: domain -> Unix seconds since when; 0: not said. */
+/* Reads the evacuations stored at the platform: domain -> start in Unix seconds, 0 if the object
+ * has none. */
 static json_t *
-S_stored (const CtlOptions *options)
+S_get_stored (const CtlOptions *options)
 {
   size_t i = 0;
   json_t *object = NULL;
@@ -131,38 +139,39 @@
   {
     if (json_is_true (json_object_get (object, "deleted")))
       continue;
-    json_t *body = json_loads (ctl_line_text (object, "body"), 0, NULL);
-    json_object_set_new (stored, ctl_line_text (object, "name"),
-                         json_integer (ctl_line_number (body, "since")));
+    json_t *body = json_loads (ctl_json_string (object, "body"), 0, NULL);
+    json_object_set_new (stored, ctl_json_string (object, "name"),
+                         json_integer (ctl_json_integer (body, "since")));
     json_decref (body);
   }
   json_decref (page);
   return stored;
 }
 
+/* @since: NULL if the evacuation was ended but daemons still hold it. */
 static void
-S_print (const char *domain, const json_t *since, size_t held, guint daemons)
+S_print_domain (const char *domain, const json_t *since, size_t holder_count, guint daemons)
 {
   gint64 at = json_integer_value (since);
   g_autoptr (GDateTime) time = at > 0 ? g_date_time_new_from_unix_utc (at) : NULL;
   g_autofree char *text = time ? g_date_time_format_iso8601 (time) : g_strdup ("?");
-  printf ("%-16s %s %s, held by %zu of %u daemons\n", domain, since ? "since" : "taken back,",
-          since ? text : "not known everywhere yet", held, daemons);
+  printf ("%-16s %s %s, held by %zu of %u daemons\n", domain, since ? "since" : "ended,",
+          since ? text : "but not yet known to all daemons", holder_count, daemons);
 }
 
 static void
-S_show (json_t *stored, const json_t *held, guint daemons)
+S_print_all (json_t *stored, const json_t *holders, guint daemons)
 {
   const char *domain = NULL;
   json_t *value = NULL;
   json_object_foreach (stored, domain, value)
   {
-    S_print (domain, value, json_array_size (json_object_get (held, domain)), daemons);
+    S_print_domain (domain, value, json_array_size (json_object_get (holders, domain)), daemons);
   }
-  json_object_foreach ((json_t *) held, domain, value)
+  json_object_foreach ((json_t *) holders, domain, value)
   {
     if (!json_object_get (stored, domain))
-      S_print (domain, NULL, json_array_size (value), daemons);
+      S_print_domain (domain, NULL, json_array_size (value), daemons);
   }
 }
 
@@ -170,19 +179,19 @@
 ctl_evacuations (const CtlOptions *options)
 {
   guint daemons = 0;
-  json_t *stored = S_stored (options);
-  json_t *held = stored ? S_held (options, &daemons) : NULL;
-  CtlExit result = held ? CTL_OK : CTL_FAILED;
-  if (held && options->json)
+  json_t *stored = S_get_stored (options);
+  json_t *holders = stored ? S_get_holders (options, &daemons) : NULL;
+  CtlExit result = holders ? CTL_OK : CTL_FAILED;
+  if (holders && options->json)
     {
       json_t *root =
-          json_pack ("{s:O, s:O, s:i}", "since", stored, "held", held, "daemons", (int) daemons);
+          json_pack ("{s:O, s:O, s:i}", "since", stored, "held", holders, "daemons", (int) daemons);
       ctl_print_json (root);
       json_decref (root);
     }
-  else if (held)
-    S_show (stored, held, daemons);
-  json_decref (held);
+  else if (holders)
+    S_print_all (stored, holders, daemons);
+  json_decref (holders);
   json_decref (stored);
   return result;
 }
--- a/src/ctl_http.c
+++ b/src/ctl_http.c
@@ -8,13 +8,13 @@
 
 enum
 {
-  DESCRIPTORS = 16,
-  LANES = 1,
+  DESCRIPTORS_MAX = 16,
+  CONNECTION_SLOTS = 1,
 };
 
 typedef struct
 {
-  MrLoopHandler host;
+  MrLoopHandler handler;
   gboolean done;
   MrHttpOutcome outcome;
   int status;
@@ -22,31 +22,31 @@
 } Exchange;
 
 static MrTime
-S_on_tick (MrLoopHandler *host, MrTime now)
+S_on_tick (MrLoopHandler *handler, MrTime now)
 {
-  (void) host;
+  (void) handler;
   return now + 10 * MR_MS;
 }
 
 static gboolean
-S_done (void *user, const MrHttpResponse *answer)
+S_on_response (void *user, const MrHttpResponse *response)
 {
   Exchange *exchange = user;
   exchange->done = TRUE;
-  exchange->outcome = answer->outcome;
-  exchange->status = answer->status;
-  g_string_append_len (exchange->answer, answer->body.data, (gssize) answer->body.len);
+  exchange->outcome = response->outcome;
+  exchange->status = response->status;
+  g_string_append_len (exchange->answer, response->body.data, (gssize) response->body.len);
   return TRUE;
 }
 
 MrStatus
-ctl_http (const CtlOptions *options,
-          const char *address,
-          const char *method,
-          const char *path,
-          MrText body,
-          int *status,
-          GString *answer)
+ctl_send_request (const CtlOptions *options,
+                  const char *address,
+                  const char *method,
+                  const char *path,
+                  MrText body,
+                  int *status,
+                  GString *answer)
 {
   g_autofree char *ip = NULL;
   int port = 0;
@@ -55,25 +55,25 @@
   mr_log_set_level (MR_LOG_ERROR);
   g_string_truncate (answer, 0);
   Exchange exchange = {
-    .host = { .on_tick = S_on_tick },
+    .handler = { .on_tick = S_on_tick },
     .answer = answer,
   };
-  MrLoop *loop = mr_loop_new (&exchange.host, DESCRIPTORS);
+  MrLoop *loop = mr_loop_new (&exchange.handler, DESCRIPTORS_MAX);
   if (!loop)
     return MR_ERROR_SYSTEM;
-  MrHttpClient *client = mr_http_client_new (loop, LANES);
+  MrHttpClient *client = mr_http_client_new (loop, CONNECTION_SLOTS);
   MrHttpCallInfo info = {
     .method = method,
     .ip = ip,
     .port = port,
     .path = path,
     .body = body,
-    .on_response = S_done,
+    .on_response = S_on_response,
     .user = &exchange,
   };
-  MrTime give_up_at = mr_now () + options->timeout_ms * MR_MS;
+  MrTime deadline = mr_now () + options->timeout_ms * MR_MS;
   MrHttpCall *call = mr_http_client_call (client, &info, NULL);
-  while (call && !exchange.done && mr_now () < give_up_at)
+  while (call && !exchange.done && mr_now () < deadline)
     mr_loop_step (loop);
   gboolean started = call != NULL;
   if (call && !exchange.done)
@@ -85,9 +85,9 @@
   mr_http_client_free (client);
   *status = exchange.status;
   if (!started || exchange.outcome == MR_HTTP_CONNECT_FAILED)
-    return mr_fail (MR_ERROR_UNAVAILABLE, "%s can't be reached", address);
+    return mr_fail (MR_ERROR_UNAVAILABLE, "%s: connection failed", address);
   if (exchange.outcome == MR_HTTP_CONNECTION_LOST)
-    return mr_fail (MR_ERROR_OUTCOME_UNKNOWN, "%s gave no whole answer", address);
+    return mr_fail (MR_ERROR_OUTCOME_UNKNOWN, "%s: no complete response", address);
   return MR_OK;
 }
 
@@ -97,13 +97,13 @@
   int status = 0;
   GString *answer = g_string_new (NULL);
   json_t *root = NULL;
-  if (ctl_http (options, address, "GET", path, (MrText){ 0 }, &status, answer) != MR_OK)
+  if (ctl_send_request (options, address, "GET", path, (MrText){ 0 }, &status, answer) != MR_OK)
     ctl_fail (CTL_FAILED, "%s", mr_status_message ());
   else
     {
       root = json_loadb (answer->str, answer->len, 0, NULL);
       if (!root)
-        ctl_fail (CTL_FAILED, "%s: status %d, and no JSON", address, status);
+        ctl_fail (CTL_FAILED, "%s: status %d, response is not valid JSON", address, status);
     }
   g_string_free (answer, TRUE);
   return root;
@@ -118,12 +118,12 @@
 }
 
 GPtrArray *
-ctl_members (const CtlOptions *options)
+ctl_get_member_addresses (const CtlOptions *options)
 {
   json_t *root = ctl_get_json (options, options->entry, "/v1/members");
   if (!root)
     return NULL;
-  GPtrArray *list = g_ptr_array_new_with_free_func (g_free);
+  GPtrArray *addresses = g_ptr_array_new_with_free_func (g_free);
   size_t i = 0;
   json_t *member = NULL;
   json_array_foreach (json_object_get (root, "members"), i, member)
@@ -132,9 +132,10 @@
     if (!state || g_str_equal (state, "dead") || g_str_equal (state, "left"))
       continue;
     g_ptr_array_add (
-        list, g_strdup_printf ("%s:%d", json_string_value (json_object_get (member, "ip")),
-                               (int) json_integer_value (json_object_get (member, "http_port"))));
+        addresses,
+        g_strdup_printf ("%s:%d", json_string_value (json_object_get (member, "ip")),
+                         (int) json_integer_value (json_object_get (member, "http_port"))));
   }
   json_decref (root);
-  return list;
+  return addresses;
 }
--- a/src/ctl_loss.h
+++ b/src/ctl_loss.h
@@ -1,35 +1,36 @@
-/* What callers lost, from relays' log lines alone: by second, kind of request and
- * cause.
+/* Value that callers lost by late, partial and missing answers, estimated from the log lines of
+ * relays: by second, route and cause.
  *
- * A request that is answered within its route's aim earns the square of the share of
- * its parts that are in, later a tenth, else nothing; what is missing to one is lost.
- * Lines stand for what they were sampled from, and for those of their event that
- * were left out for volume just before.  Requests that reached no relay are not
- * seen. */
+ * An answer within the latency goal of its route has the square of the fraction of its parts that
+ * are present as its value, a later one a tenth of that, a request without an answer 0.  The
+ * difference to 1 is lost.  A line represents the requests that it was sampled from, and also those
+ * of the lines of the same event that the log's rate limit suppressed before it.  Requests that
+ * reached no relay are not counted. */
 #pragma once
 
 #include "ctl.h"
 
 typedef enum
 {
-  CTL_LOSS_PARTIAL, /* in time, without some parts */
-  CTL_LOSS_LATE,
+  CTL_LOSS_PARTIAL, /* within the latency goal, but some parts may be missing */
+  CTL_LOSS_LATE,    /* after the latency goal */
   CTL_LOSS_REFUSED,
   CTL_LOSS_FAILED,
-  CTL_LOSSES,
+  CTL_LOSS_KINDS,
 } CtlLossKind;
 
-/* One line's share: @requests that it stands for, and what each lost. */
+/* Loss of the requests that one log line represents. */
 typedef struct
 {
   guint requests;
   CtlLossKind kind;
-  double lost; /* of each, 0 to 1 */
+  double lost_share; /* lost value of each request, 0 to 1 */
 } CtlLineLoss;
 
-extern const char *const ctl_loss_names[CTL_LOSSES];
+extern const char *const ctl_loss_names[CTL_LOSS_KINDS];
 
-/* FALSE if the line is of no request that a caller was owed an answer to. */
+/* Computes the loss of one log line.  Returns FALSE if the line is not of a request, or of one that
+ * matched no route. */
 gboolean ctl_line_loss (const json_t *line, CtlLineLoss *loss);
 
 typedef struct _CtlLoss CtlLoss;
@@ -37,5 +38,6 @@
 CtlLoss *ctl_loss_new (void);
 void ctl_loss_free (CtlLoss *loss);
 void ctl_loss_add (CtlLoss *loss, const json_t *line);
-/* Prints what was lost by route and cause, and the seconds that lost most. */
+
+/* Prints the loss by route and cause, and the seconds with the greatest loss. */
 void ctl_loss_print (const CtlLoss *loss);
--- a/src/ctl_plot.h
+++ b/src/ctl_plot.h
@@ -1,6 +1,6 @@
-/* Plots of a run out of relays' log lines, as one SVG page: how long answers took,
- * by route, what became of requests and what daemons sent into other failure domains,
- * second by second. */
+/* Plots of the log lines of relays, as one SVG page: the distribution of latency by route, and for
+ * each second the outcomes of requests, the lost value and the bytes that daemons sent to other
+ * failure domains. */
 #pragma once
 
 #include "ctl.h"
@@ -11,14 +11,14 @@
 CtlPlot *ctl_plot_new (void);
 void ctl_plot_free (CtlPlot *plot);
 
-/* Counts one line of a request. */
-void ctl_plot_add (CtlPlot *plot, const json_t *line);
+/* Counts the log line of a request. */
+void ctl_plot_add_request (CtlPlot *plot, const json_t *line);
 
-/* Counts one line of traffic between daemons. */
+/* Counts a log line of traffic between daemons. */
 void ctl_plot_add_traffic (CtlPlot *plot, const json_t *line);
 
-/* A curve for the answers of @route. */
-void ctl_plot_route (CtlPlot *plot, const char *route, const MrHistogram *latency);
+/* Adds the cumulative distribution of the latency of @route. */
+void ctl_plot_add_route (CtlPlot *plot, const char *route, const MrHistogram *latency);
 
-/* Writes the page to @path. */
+/* Writes the page to the file @path. */
 CtlExit ctl_plot_write (const CtlPlot *plot, const char *path);
--- a/src/ctl_request.c
+++ b/src/ctl_request.c
@@ -3,7 +3,7 @@
 #include "result.h"
 #include <stdio.h>
 
-/* Exit code for a daemon's answer. */
+/* Returns the exit code for the response of a daemon. */
 static CtlExit
 S_exit_code (const json_t *root)
 {
@@ -70,7 +70,7 @@
 }
 
 static GString *
-S_path (const char *service, const char *action, const CtlOptions *options)
+S_service_path (const char *service, const char *action, const CtlOptions *options)
 {
   GString *path = g_string_new (NULL);
   g_autofree char *escaped = g_uri_escape_string (service, NULL, FALSE);
@@ -79,23 +79,26 @@
   return path;
 }
 
-/* One request; NULL with @failure set if there was no answer. */
+/* Sends a request to the entry daemon and returns its JSON response.  Returns NULL, with the error
+ * printed and @exit_code set, if there is none.  Frees @path. */
 static json_t *
-S_request (
-    const CtlOptions *options, const char *method, GString *path, MrText body, CtlExit *failure)
+S_send (
+    const CtlOptions *options, const char *method, GString *path, MrText body, CtlExit *exit_code)
 {
   GString *answer = g_string_new (NULL);
   int status = 0;
-  MrStatus sent = ctl_http (options, options->entry, method, path->str, body, &status, answer);
+  MrStatus sent =
+      ctl_send_request (options, options->entry, method, path->str, body, &status, answer);
   json_t *root = NULL;
   if (sent != MR_OK)
-    *failure = ctl_fail (sent == MR_ERROR_OUTCOME_UNKNOWN ? CTL_UNKNOWN : CTL_FAILED, "%s",
-                         mr_status_message ());
+    *exit_code = ctl_fail (sent == MR_ERROR_OUTCOME_UNKNOWN ? CTL_UNKNOWN : CTL_FAILED, "%s",
+                           mr_status_message ());
   else
     {
       root = json_loadb (answer->str, answer->len, 0, NULL);
       if (!root)
-        *failure = ctl_fail (CTL_FAILED, "%s: status %d, and no JSON", options->entry, status);
+        *exit_code = ctl_fail (CTL_FAILED, "%s: status %d, response is not valid JSON",
+                               options->entry, status);
     }
   g_string_free (answer, TRUE);
   g_string_free (path, TRUE);
@@ -108,12 +111,12 @@
   if (options->argc < 2)
     return ctl_fail (CTL_USAGE, "expected: merlinringctl search SERVICE WORDS...");
   g_autofree char *words = g_strjoinv (" ", options->argv + 1);
-  GString *path = S_path (options->argv[0], "search", options);
+  GString *path = S_service_path (options->argv[0], "search", options);
   S_append_argument (path, "q", words);
   S_append_argument (path, "class", options->traffic_class);
-  S_append_argument (path, "k", options->k);
+  S_append_argument (path, "k", options->hit_count);
   CtlExit result = CTL_OK;
-  json_t *root = S_request (options, "GET", path, (MrText){ 0 }, &result);
+  json_t *root = S_send (options, "GET", path, (MrText){ 0 }, &result);
   if (!root)
     return result;
   result = S_exit_code (root);
@@ -127,21 +130,22 @@
   return result;
 }
 
-/* A new ticket, or NULL with @failure set. */
+/* Returns a new ticket, to be freed by the caller, or NULL with @exit_code set. */
 static char *
-S_take_ticket (const CtlOptions *options, const char *service, CtlExit *failure)
+S_get_ticket (const CtlOptions *options, const char *service, CtlExit *exit_code)
 {
-  CtlOptions plain = *options;
-  plain.deadline_ms = NULL;
+  CtlOptions ticket_options = *options;
+  ticket_options.deadline_ms = NULL;
   json_t *root =
-      S_request (&plain, "POST", S_path (service, "tickets", &plain), MR_TEXT ("{}"), failure);
+      S_send (&ticket_options, "POST", S_service_path (service, "tickets", &ticket_options),
+              MR_TEXT ("{}"), exit_code);
   if (!root)
     return NULL;
   char *ticket = g_strdup (json_string_value (json_object_get (root, "ticket")));
   if (!ticket)
     {
       S_print_refusal (root);
-      *failure = S_exit_code (root);
+      *exit_code = S_exit_code (root);
     }
   json_decref (root);
   return ticket;
@@ -153,7 +157,7 @@
   if (options->argc != 1)
     return ctl_fail (CTL_USAGE, "expected: merlinringctl ticket SERVICE");
   CtlExit result = CTL_OK;
-  g_autofree char *ticket = S_take_ticket (options, options->argv[0], &result);
+  g_autofree char *ticket = S_get_ticket (options, options->argv[0], &result);
   if (ticket)
     puts (ticket);
   return result;
@@ -166,15 +170,16 @@
     return ctl_fail (CTL_USAGE, "expected: merlinringctl order SERVICE JSON");
   CtlExit result = CTL_OK;
   g_autofree char *ticket = options->ticket ? g_strdup (options->ticket)
-                                            : S_take_ticket (options, options->argv[0], &result);
+                                            : S_get_ticket (options, options->argv[0], &result);
   if (!ticket)
     return result;
-  GString *path = S_path (options->argv[0], "orders", options);
+  GString *path = S_service_path (options->argv[0], "orders", options);
   S_append_argument (path, "ticket", ticket);
-  json_t *root = S_request (options, "POST", path, mr_text (options->argv[1]), &result);
+  json_t *root = S_send (options, "POST", path, mr_text (options->argv[1]), &result);
   if (!root)
     {
-      fprintf (stderr, "merlinringctl: ask again with --ticket %s\n", ticket);
+      fprintf (stderr, "merlinringctl: repeat the order with --ticket %s, it runs at most once\n",
+               ticket);
       return result;
     }
   result = S_exit_code (root);
--- a/src/ctl_show.c
+++ b/src/ctl_show.c
@@ -3,36 +3,37 @@
 #include <stdio.h>
 
 static gboolean
-S_true (const json_t *object, const char *key)
+S_is_true (const json_t *object, const char *key)
 {
   return json_is_true (json_object_get (object, key));
 }
 
-/* Gets @path of every member; an unreachable one is left out after a message.
- */
+/* Fetches @path from every member and returns an array of the pages, each with the member's address
+ * added.  Prints an error for each member that fails, and omits it. */
 static json_t *
-S_from_all (const CtlOptions *options, const char *path)
+S_get_from_members (const CtlOptions *options, const char *path)
 {
-  GPtrArray *members = ctl_members (options);
-  if (!members)
+  GPtrArray *addresses = ctl_get_member_addresses (options);
+  if (!addresses)
     return NULL;
   json_t *list = json_array ();
-  for (guint i = 0; i < members->len; i++)
+  for (guint i = 0; i < addresses->len; i++)
     {
-      json_t *root = ctl_get_json (options, g_ptr_array_index (members, i), path);
+      json_t *root = ctl_get_json (options, g_ptr_array_index (addresses, i), path);
       if (root)
         {
-          json_object_set_new (root, "address", json_string (g_ptr_array_index (members, i)));
+          json_object_set_new (root, "address", json_string (g_ptr_array_index (addresses, i)));
           json_array_append_new (list, root);
         }
     }
-  g_ptr_array_unref (members);
+  g_ptr_array_unref (addresses);
   return list;
 }
 
-/* Prints each object of @list, or the whole as JSON; takes @list. */
+/* Prints each object of @list with @print, or with --json the whole list as JSON.  Releases @list.
+ */
 static CtlExit
-S_show (const CtlOptions *options, json_t *list, void (*print) (const json_t *object))
+S_print_list (const CtlOptions *options, json_t *list, void (*print) (const json_t *object))
 {
   size_t i = 0;
   json_t *object = NULL;
@@ -53,9 +54,10 @@
 S_print_service (const json_t *service)
 {
   printf ("    %-20s document %d, snapshot %s (generation %d), %d shards on %d targets\n",
-          ctl_line_text (service, "service"), (int) ctl_line_number (service, "document_version"),
-          ctl_line_text (service, "snapshot"), (int) ctl_line_number (service, "generation"),
-          (int) ctl_line_number (service, "shards"), (int) ctl_line_number (service, "targets"));
+          ctl_json_string (service, "service"),
+          (int) ctl_json_integer (service, "document_version"),
+          ctl_json_string (service, "snapshot"), (int) ctl_json_integer (service, "generation"),
+          (int) ctl_json_integer (service, "shards"), (int) ctl_json_integer (service, "targets"));
 }
 
 static void
@@ -63,12 +65,12 @@
 {
   size_t i = 0;
   json_t *service = NULL;
-  printf ("%-12s %-21s %-10s %s%s platform %s, %d members\n", ctl_line_text (daemon, "daemon"),
-          ctl_line_text (daemon, "address"), ctl_line_text (daemon, "domain"),
-          S_true (daemon, "ready") ? "ready" : "NOT READY",
-          S_true (daemon, "leaving") ? ", leaving," : ",",
-          S_true (daemon, "platform_up") ? "up" : "DOWN",
-          (int) ctl_line_number (daemon, "members"));
+  printf ("%-12s %-21s %-10s %s%s platform %s, %d members\n", ctl_json_string (daemon, "daemon"),
+          ctl_json_string (daemon, "address"), ctl_json_string (daemon, "domain"),
+          S_is_true (daemon, "ready") ? "ready" : "NOT READY",
+          S_is_true (daemon, "leaving") ? ", leaving," : ",",
+          S_is_true (daemon, "platform_up") ? "up" : "DOWN",
+          (int) ctl_json_integer (daemon, "members"));
   json_array_foreach (json_object_get (daemon, "services"), i, service)
   {
     S_print_service (service);
@@ -78,16 +80,16 @@
 CtlExit
 ctl_status (const CtlOptions *options)
 {
-  return S_show (options, S_from_all (options, "/v1/status"), S_print_daemon);
+  return S_print_list (options, S_get_from_members (options, "/v1/status"), S_print_daemon);
 }
 
 static void
 S_print_member (const json_t *member)
 {
-  printf ("%-12s %s:%d %-10s %-10s %s%s\n", ctl_line_text (member, "name"),
-          ctl_line_text (member, "ip"), (int) ctl_line_number (member, "http_port"),
-          ctl_line_text (member, "domain"), ctl_line_text (member, "region"),
-          ctl_line_text (member, "state"), S_true (member, "busy") ? ", busy" : "");
+  printf ("%-12s %s:%d %-10s %-10s %s%s\n", ctl_json_string (member, "name"),
+          ctl_json_string (member, "ip"), (int) ctl_json_integer (member, "http_port"),
+          ctl_json_string (member, "domain"), ctl_json_string (member, "region"),
+          ctl_json_string (member, "state"), S_is_true (member, "busy") ? ", busy" : "");
 }
 
 CtlExit
@@ -95,21 +97,21 @@
 {
   json_t *root = ctl_get_json (options, options->entry, "/v1/members");
   if (!root || options->json)
-    return S_show (options, root, NULL);
+    return S_print_list (options, root, NULL);
   json_t *members = json_incref (json_object_get (root, "members"));
   json_decref (root);
-  return S_show (options, members, S_print_member);
+  return S_print_list (options, members, S_print_member);
 }
 
 static void
 S_print_target (const json_t *target)
 {
   printf ("    %-16s %-21s %-10s %-8s %2d in flight of %2d, %6.1f ms, %d calls, %d shed\n",
-          ctl_line_text (target, "id"), ctl_line_text (target, "address"),
-          ctl_line_text (target, "domain"), ctl_line_text (target, "state"),
-          (int) ctl_line_number (target, "in_flight"), (int) ctl_line_number (target, "limit"),
+          ctl_json_string (target, "id"), ctl_json_string (target, "address"),
+          ctl_json_string (target, "domain"), ctl_json_string (target, "state"),
+          (int) ctl_json_integer (target, "in_flight"), (int) ctl_json_integer (target, "limit"),
           json_number_value (json_object_get (target, "latency_us")) / 1000,
-          (int) ctl_line_number (target, "calls"), (int) ctl_line_number (target, "shed"));
+          (int) ctl_json_integer (target, "calls"), (int) ctl_json_integer (target, "shed"));
 }
 
 static void
@@ -117,7 +119,7 @@
 {
   size_t i = 0;
   json_t *target = NULL;
-  printf ("seen by %s\n", ctl_line_text (daemon, "address"));
+  printf ("seen by %s\n", ctl_json_string (daemon, "address"));
   json_array_foreach (json_object_get (daemon, "targets"), i, target)
   {
     S_print_target (target);
@@ -127,7 +129,7 @@
 CtlExit
 ctl_targets (const CtlOptions *options)
 {
-  return S_show (options, S_from_all (options, "/v1/targets"), S_print_targets);
+  return S_print_list (options, S_get_from_members (options, "/v1/targets"), S_print_targets);
 }
 
 CtlExit
@@ -145,11 +147,11 @@
     ctl_print_json (root);
   else
     {
-      printf ("keep for %d ms\n", (int) ctl_line_number (root, "keep_ms"));
+      printf ("may be cached for %d ms\n", (int) ctl_json_integer (root, "keep_ms"));
       json_array_foreach (json_object_get (root, "addresses"), i, address)
       {
-        printf ("%s:%d  %s\n", ctl_line_text (address, "ip"),
-                (int) ctl_line_number (address, "port"), ctl_line_text (address, "domain"));
+        printf ("%s:%d  %s\n", ctl_json_string (address, "ip"),
+                (int) ctl_json_integer (address, "port"), ctl_json_string (address, "domain"));
       }
     }
   gboolean any = json_array_size (json_object_get (root, "addresses")) > 0;
@@ -163,8 +165,8 @@
   GString *answer = g_string_new (NULL);
   int status = 0;
   CtlExit result = CTL_OK;
-  if (ctl_http (options, options->entry, "GET", "/metrics", (MrText){ 0 }, &status, answer) !=
-      MR_OK)
+  if (ctl_send_request (options, options->entry, "GET", "/metrics", (MrText){ 0 }, &status,
+                        answer) != MR_OK)
     result = ctl_fail (CTL_FAILED, "%s", mr_status_message ());
   else
     fputs (answer->str, stdout);
