--- a/test/test_docs.c
+++ b/test/test_docs.c
@@ -1,5 +1,6 @@
-/* The tables of docs/ name every result code and event of the code, and no
- * others; the pages are looked for beside the sources. */
+/* Checks that docs/ and the sources agree: RESULT-CODES.md lists exactly the result codes of the
+ * code, EVENTS.md every event number of log.h, and no source file outside platform/ contains a name
+ * of the users' platform.  The files are read from MR_SOURCE_DIR. */
 
 #include "log.h"
 #include "result.h"
@@ -13,7 +14,7 @@
 #include <cmocka.h>
 
 static char *
-S_read (const char *name)
+S_read_file (const char *name)
 {
   char *text = NULL;
   g_autofree char *path = g_build_filename (MR_SOURCE_DIR, name, NULL);
@@ -26,7 +27,7 @@
 test_result_codes (void **state)
 {
   (void) state;
-  g_autofree char *page = S_read ("docs/RESULT-CODES.md");
+  g_autofree char *page = S_read_file ("docs/RESULT-CODES.md");
   for (int code = 100; code < 500; code++)
     {
       const char *name = mr_result_name ((MrResult) code);
@@ -40,13 +41,13 @@
     }
 }
 
-/* Event numbers as they stand in log.h, against the catalogue. */
+/* Each event number defined in log.h is in docs/EVENTS.md. */
 static void
 test_events (void **state)
 {
   (void) state;
-  g_autofree char *page = S_read ("docs/EVENTS.md");
-  g_autofree char *header = S_read ("src/log.h");
+  g_autofree char *page = S_read_file ("docs/EVENTS.md");
+  g_autofree char *header = S_read_file ("src/log.h");
   guint count = 0;
   for (const char *at = strstr (header, "MR_EVENT_"); at; at = strstr (at + 1, "MR_EVENT_"))
     {
@@ -60,8 +61,8 @@
   assert_true (count > 20);
 }
 
-/* Names of the users' platform stand in platform/ alone: whatever else knew one
- * would have to change with the platform. */
+/* Only platform/ may contain names of the users' platform, so that a change of that platform
+ * affects no other code. */
 static void
 test_platform_names (void **state)
 {
@@ -81,7 +82,7 @@
   for (const char *file = g_dir_read_name (dir); file; file = g_dir_read_name (dir))
     {
       g_autofree char *path = g_build_filename ("src", file, NULL);
-      g_autofree char *text = S_read (path);
+      g_autofree char *text = S_read_file (path);
       files++;
       for (gsize i = 0; i < G_N_ELEMENTS (names); i++)
         if (strstr (text, names[i]))
