--- a/src/burn.c
+++ b/src/burn.c
@@ -82,16 +82,16 @@
 }
 
 static void
-S_add_blame (ServiceBurn *service, MrTime now, const MrBurnEvent *event)
+S_add_blame (ServiceBurn *service, MrTime now, const MrBurnEvent *outcome)
 {
-  BlameCounts *blamed = g_hash_table_lookup (service->blamed, event->target);
+  BlameCounts *blamed = g_hash_table_lookup (service->blamed, outcome->target);
   if (!blamed)
     {
       if (g_hash_table_size (service->blamed) >= BLAMED_MAX)
         g_hash_table_remove_all (service->blamed);
       blamed = g_new0 (BlameCounts, 1);
-      g_strlcpy (blamed->domain, event->domain, sizeof blamed->domain);
-      g_hash_table_insert (service->blamed, g_strdup (event->target), blamed);
+      g_strlcpy (blamed->domain, outcome->domain, sizeof blamed->domain);
+      g_hash_table_insert (service->blamed, g_strdup (outcome->target), blamed);
     }
   gint64 minute = now / (60 * MR_SECOND);
   guint slot = (guint) (minute % BLAME_MINUTES);
@@ -104,7 +104,7 @@
 }
 
 void
-mr_burn_add (MrBurn *burn, MrTime now, const char *name, const MrBurnEvent *event)
+mr_burn_add (MrBurn *burn, MrTime now, const char *name, const MrBurnEvent *outcome)
 {
   ServiceBurn *service = S_get_service (burn, name);
   for (guint window = 0; window < MR_BURN_WINDOWS; window++)
@@ -114,12 +114,12 @@
       if (bucket->index != index)
         *bucket = (Bucket){ .index = index };
       bucket->counts.total++;
-      bucket->counts.slow += event->slow;
-      bucket->counts.uncovered += event->uncovered;
-      bucket->counts.refused += event->refused;
+      bucket->counts.slow += outcome->slow;
+      bucket->counts.uncovered += outcome->uncovered;
+      bucket->counts.refused += outcome->refused;
     }
-  if (event->target && (event->slow || event->uncovered))
-    S_add_blame (service, now, event);
+  if (outcome->target && (outcome->slow || outcome->uncovered))
+    S_add_blame (service, now, outcome);
 }
 
 MrBurnCounts
--- a/src/burn.h
+++ b/src/burn.h
@@ -39,7 +39,7 @@
 
 MrBurn *mr_burn_new (MrTime now);
 void mr_burn_free (MrBurn *burn);
-void mr_burn_add (MrBurn *burn, MrTime now, const char *service, const MrBurnEvent *event);
+void mr_burn_add (MrBurn *burn, MrTime now, const char *service, const MrBurnEvent *outcome);
 MrBurnCounts mr_burn_counts (const MrBurn *burn, MrTime now, const char *service, guint window);
 
 /* Returns how many seconds of @window lie after the start of this process. */
--- a/src/json_page.c
+++ b/src/json_page.c
@@ -71,8 +71,7 @@
 }
 
 /* Finds the last closing bracket with which the page is valid JSON once the elements of its list
- * are cut out.  Returns that page with an empty list and sets @end to the position of the bracket.
- */
+ * are cut out.  Returns that page with its list empty, and the bracket's position in @end. */
 static json_t *
 S_find_list_end (MrText text, gsize begin, gsize *end)
 {
@@ -92,11 +91,11 @@
 }
 
 static json_t *
-S_read_element (const MrJsonPage *page, const char *list, MrText text, gsize *at)
+S_read_element (const MrJsonPage *format, const char *list, MrText text, gsize *at)
 {
   gsize next = *at;
   json_t *value = S_read_value (text, &next);
-  if (value && page->is_element (list, value))
+  if (value && format->is_element (list, value))
     {
       *at = next;
       return value;
@@ -108,7 +107,7 @@
 /* Returns the start of the first valid element after the malformed one at @at; text.len if there is
  * none. */
 static gsize
-S_find_next_element (const MrJsonPage *page, const char *list, MrText text, gsize at)
+S_find_next_element (const MrJsonPage *format, const char *list, MrText text, gsize at)
 {
   for (at++; at < text.len; at++)
     {
@@ -117,7 +116,7 @@
       gsize begin = S_skip_spaces (text, at);
       gsize next = begin;
       json_t *value = begin < text.len && text.data[begin] == '{'
-                          ? S_read_element (page, list, text, &next)
+                          ? S_read_element (format, list, text, &next)
                           : NULL;
       json_decref (value);
       if (value)
@@ -127,7 +126,7 @@
 }
 
 static json_t *
-S_read_elements (const MrJsonPage *page, const char *list, MrText text, guint *malformed_count)
+S_read_elements (const MrJsonPage *format, const char *list, MrText text, guint *malformed_count)
 {
   json_t *elements = json_array ();
   gsize at = 0;
@@ -138,11 +137,11 @@
           at++;
           continue;
         }
-      json_t *value = S_read_element (page, list, text, &at);
+      json_t *value = S_read_element (format, list, text, &at);
       if (!value)
         {
-          gsize next = S_find_next_element (page, list, text, at);
-          value = page->save (list, (MrText){ .data = text.data + at, .len = next - at });
+          gsize next = S_find_next_element (format, list, text, at);
+          value = format->save (list, (MrText){ .data = text.data + at, .len = next - at });
           at = next;
           (*malformed_count)++;
         }
@@ -153,7 +152,7 @@
 }
 
 static json_t *
-S_load_list (const MrJsonPage *page, const char *list, MrText text, guint *malformed_count)
+S_load_list (const MrJsonPage *format, const char *list, MrText text, guint *malformed_count)
 {
   gsize begin = S_find_value (text, list);
   gsize end = 0;
@@ -164,16 +163,16 @@
   if (!root)
     return NULL;
   MrText elements = { .data = text.data + begin, .len = end - begin };
-  json_object_set_new (root, list, S_read_elements (page, list, elements, malformed_count));
+  json_object_set_new (root, list, S_read_elements (format, list, elements, malformed_count));
   return root;
 }
 
 json_t *
-mr_json_page_load (const MrJsonPage *page, MrText text, guint *malformed_count)
+mr_json_page_load (const MrJsonPage *format, MrText text, guint *malformed_count)
 {
   json_t *root = json_loadb (text.data, text.len, 0, NULL);
-  for (const char *const *list = page->lists; !root && *list; list++)
-    root = S_load_list (page, *list, text, malformed_count);
+  for (const char *const *list = format->lists; !root && *list; list++)
+    root = S_load_list (format, *list, text, malformed_count);
   if (json_is_object (root))
     return root;
   json_decref (root);
--- a/src/json_page.h
+++ b/src/json_page.h
@@ -20,7 +20,7 @@
 
 /* Returns the page as a JSON object, or NULL if @text is no object or the end of its list can't be
  * found.  Adds the number of malformed elements to @malformed_count. */
-json_t *mr_json_page_load (const MrJsonPage *page, MrText text, guint *malformed_count);
+json_t *mr_json_page_load (const MrJsonPage *format, MrText text, guint *malformed_count);
 
 /* Returns the value of the first member called @name in @text at any depth, or NULL if there is
  * none or it is malformed.  The rest of @text need not be valid JSON. */
--- a/src/operator_pages.c
+++ b/src/operator_pages.c
@@ -37,7 +37,7 @@
 }
 
 GString *
-mr_page_status (const MrEntryContext *context, const MrOperatorCounts *counts)
+mr_page_status (const MrEntryContext *context, const MrOperatorCounts *activity)
 {
   const MrView *view = context->view;
   GString *out = g_string_new (NULL);
@@ -48,9 +48,9 @@
                           "\"services\":[",
                           context->settings->name, context->settings->domain,
                           context->settings->region, view && view->ready ? "true" : "false",
-                          counts->leaving ? "true" : "false",
+                          activity->leaving ? "true" : "false",
                           view && view->platform_up ? "true" : "false",
-                          view ? view->members->count : 0, counts->searches, counts->orders);
+                          view ? view->members->count : 0, activity->searches, activity->orders);
   if (view)
     S_append_services (out, view);
   g_string_append (out, "],\"evacuated\":[");
--- a/src/operator_pages.h
+++ b/src/operator_pages.h
@@ -11,7 +11,7 @@
   gboolean leaving;
 } MrOperatorCounts;
 
-GString *mr_page_status (const MrEntryContext *context, const MrOperatorCounts *counts);
+GString *mr_page_status (const MrEntryContext *context, const MrOperatorCounts *activity);
 GString *mr_page_members (const MrEntryContext *context);
 GString *mr_page_burn (const MrEntryContext *context, MrTime now);
 GString *mr_page_metrics (const MrEntryContext *context);
