--- a/test/platform/process_soak.sh
+++ b/test/platform/process_soak.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# A short fault soak with a fixed seed.  Then searchers that lose the answers of
-# what they ran, with the safeguard of "not run" off, which must show: an order
-# runs at another searcher too, or is refused although it ran.
+# A short fault soak with a fixed seed.  Then searchers reset connections after running a
+# request, with the "not run" safeguard off: the soak must detect that an order runs at
+# a second searcher as well, or is refused although it ran.
 set -u
 BUILD=$1
 LOG=$(mktemp)
@@ -14,10 +14,10 @@
 rm -rf "$(sed -n 's/.*logs in //p' "$LOG")"
 SOAK_RELAY=test/merlinring-relay_unsafe MERLINRING_GUARDS_OFF=20 SOAK_ONLY=reset \
   "$BUILD/test/soak" "$BUILD" 7 5 26000 >"$LOG" 2>&1 && {
-  echo "FAILED: the soak does not see orders that run twice"
+  echo "FAILED: the soak does not detect orders that run twice"
   exit 1
 }
-grep -q "BROKEN once: \|BROKEN not run: " "$LOG" || {
+grep -q "VIOLATION once: \|VIOLATION not run: " "$LOG" || {
   cat "$LOG"
   exit 1
 }
--- a/test/soak/clock.c
+++ b/test/soak/clock.c
@@ -1,6 +1,6 @@
-/* Preloaded into a relay of the fault soak: adds to its time of day what stands, in
- * microseconds, in the file that SOAK_CLOCK names.  The steady clocks are left
- * alone. */
+/* Library preloaded into the relays of the fault soak.  It shifts the wall clock by the
+ * offset in microseconds in the file named by SOAK_CLOCK.  Monotonic clocks are not
+ * changed. */
 
 #include <dlfcn.h>
 #include <fcntl.h>
@@ -17,20 +17,20 @@
 static ReadClock read_clock;
 
 __attribute__ ((constructor)) static void
-S_open (void)
+S_map_offset (void)
 {
   const char *path = getenv ("SOAK_CLOCK");
   int fd = path ? open (path, O_RDONLY | O_CLOEXEC) : -1;
   if (fd < 0)
     return;
-  void *at = mmap (NULL, sizeof *offset, PROT_READ, MAP_SHARED, fd, 0);
+  void *mapping = mmap (NULL, sizeof *offset, PROT_READ, MAP_SHARED, fd, 0);
   close (fd);
-  if (at != MAP_FAILED)
-    offset = at;
+  if (mapping != MAP_FAILED)
+    offset = mapping;
 }
 
 static int
-S_read (clockid_t clock, struct timespec *time)
+S_read_real_clock (clockid_t clock, struct timespec *time)
 {
   if (!read_clock)
     *(void **) &read_clock = dlsym (RTLD_NEXT, "clock_gettime");
@@ -41,7 +41,7 @@
 clock_gettime (clockid_t clock, struct timespec *out)
 {
   const int64_t second = 1000000000;
-  int result = S_read (clock, out);
+  int result = S_read_real_clock (clock, out);
   if (result != 0 || !offset || (clock != CLOCK_REALTIME && clock != CLOCK_REALTIME_COARSE))
     return result;
   int64_t ns = (int64_t) out->tv_sec * second + out->tv_nsec + *offset * 1000;
--- a/test/soak/proxy.c
+++ b/test/soak/proxy.c
@@ -8,29 +8,29 @@
 #include <unistd.h>
 
 static const MrTime DELAY = 150 * MR_MS;
-/* An old connection of a server that has started again may end when the new process does
- * not listen yet. */
-static const MrTime REOPEN = 300 * MR_MS;
+/* After a restart of the server, one of its old connections may close before the new process
+ * listens, which closes the proxy's listener.  It reopens after this delay. */
+static const MrTime REOPEN_DELAY = 300 * MR_MS;
 
-typedef struct Link Link;
+typedef struct ProxyConnection ProxyConnection;
 
 /* One end of a proxied connection. */
 typedef struct
 {
-  MrStreamHandler host;
-  Link *link;
+  MrStreamHandler handler;
+  ProxyConnection *connection;
   MrStream *stream; /* NULL once it has ended */
-  GString *waiting; /* to be written to this end */
+  GString *pending; /* delayed bytes to be written to this endpoint */
   MrTimer timer;
-} End;
+} Endpoint;
 
-struct Link
+struct ProxyConnection
 {
   SoakProxy *proxy;
   GList node;
-  End caller;
-  End server;
-  gboolean lost;
+  Endpoint caller;
+  Endpoint server;
+  gboolean silenced;
 };
 
 struct _SoakProxy
@@ -42,52 +42,52 @@
   MrListener *listener; /* NULL: closed */
   MrTime closed_at;
   SoakProxyMode mode;
-  GQueue links;
+  GQueue connections;
 };
 
 static void
-S_link_free (Link *link)
+S_connection_free (ProxyConnection *connection)
 {
-  SoakProxy *proxy = link->proxy;
-  End *ends[] = { &link->caller, &link->server };
+  SoakProxy *proxy = connection->proxy;
+  Endpoint *ends[] = { &connection->caller, &connection->server };
   for (guint i = 0; i < G_N_ELEMENTS (ends); i++)
     {
       mr_timers_set (proxy->timers, &ends[i]->timer, MR_NEVER);
       if (ends[i]->stream)
         mr_stream_close (ends[i]->stream);
-      g_string_free (ends[i]->waiting, TRUE);
+      g_string_free (ends[i]->pending, TRUE);
     }
-  g_queue_unlink (&proxy->links, &link->node);
-  g_free (link);
+  g_queue_unlink (&proxy->connections, &connection->node);
+  g_free (connection);
 }
 
 static gboolean
-S_silent (const End *from)
+S_is_silenced (const Endpoint *from)
 {
-  const Link *link = from->link;
-  SoakProxyMode mode = link->proxy->mode;
-  gboolean up = from == &link->caller;
-  return link->lost || mode == PROXY_SILENT || (up && mode == PROXY_SILENT_UP) ||
+  const ProxyConnection *connection = from->connection;
+  SoakProxyMode mode = connection->proxy->mode;
+  gboolean up = from == &connection->caller;
+  return connection->silenced || mode == PROXY_SILENT || (up && mode == PROXY_SILENT_UP) ||
          (!up && mode == PROXY_SILENT_DOWN);
 }
 
 static void
-S_received (MrStreamHandler *host, MrStream *stream, MrText bytes)
+S_on_data (MrStreamHandler *handler, MrStream *stream, MrText bytes)
 {
-  End *from = (End *) host;
-  Link *link = from->link;
-  End *to = from == &link->caller ? &link->server : &link->caller;
+  Endpoint *from = (Endpoint *) handler;
+  ProxyConnection *connection = from->connection;
+  Endpoint *to = from == &connection->caller ? &connection->server : &connection->caller;
   (void) stream;
-  if (S_silent (from))
-    return; /* swallowed: the connection is out of step for good */
-  if (link->proxy->mode != PROXY_DELAY && to->waiting->len == 0)
+  if (S_is_silenced (from))
+    return; /* dropped: the byte stream stays incomplete */
+  if (connection->proxy->mode != PROXY_DELAY && to->pending->len == 0)
     {
       mr_stream_write (to->stream, bytes);
       return;
     }
-  g_string_append_len (to->waiting, bytes.data, (gssize) bytes.len);
+  g_string_append_len (to->pending, bytes.data, (gssize) bytes.len);
   if (to->timer.heap_index == 0)
-    mr_timers_set (link->proxy->timers, &to->timer, mr_now () + DELAY);
+    mr_timers_set (connection->proxy->timers, &to->timer, mr_now () + DELAY);
 }
 
 static gboolean
@@ -104,56 +104,57 @@
   return listens;
 }
 
-/* The end of one side is passed on, unless the path is silent.  An ended process refuses
- * connections before anybody hears of it, and so does what stands for it. */
+/* Closes the other side as well.  A process that has ended refuses connections before its
+ * callers notice the end, so the proxy closes its listener if the server no longer listens. */
 static void
-S_ended (MrStreamHandler *host, MrStream *stream, MrStreamEnd end)
+S_on_end (MrStreamHandler *handler, MrStream *stream, MrStreamEnd end)
 {
-  End *from = (End *) host;
-  Link *link = from->link;
+  Endpoint *from = (Endpoint *) handler;
+  ProxyConnection *connection = from->connection;
   (void) stream;
   from->stream = NULL;
-  if (from == &link->server && end != MR_STREAM_REFUSED && !S_server_listens (link->proxy))
-    soak_proxy_set_open (link->proxy, FALSE);
-  S_link_free (link);
+  if (from == &connection->server && end != MR_STREAM_REFUSED &&
+      !S_server_listens (connection->proxy))
+    soak_proxy_set_open (connection->proxy, FALSE);
+  S_connection_free (connection);
 }
 
 static void
-S_opened (MrStreamHandler *host, MrStream *stream)
+S_on_open (MrStreamHandler *handler, MrStream *stream)
 {
-  (void) host;
+  (void) handler;
   (void) stream;
 }
 
-static const MrStreamHandler end_host = { .on_open = S_opened,
-                                          .on_data = S_received,
-                                          .on_end = S_ended };
+static const MrStreamHandler endpoint_handler = { .on_open = S_on_open,
+                                                  .on_data = S_on_data,
+                                                  .on_end = S_on_end };
 
 static void
-S_init_end (Link *link, End *end)
+S_init_endpoint (ProxyConnection *connection, Endpoint *end)
 {
-  end->host = end_host;
-  end->link = link;
-  end->waiting = g_string_new (NULL);
+  end->handler = endpoint_handler;
+  end->connection = connection;
+  end->pending = g_string_new (NULL);
   end->timer.owner = end;
 }
 
 static void
-S_accepted (void *user, MrStream *stream)
+S_on_accept (void *user, MrStream *stream)
 {
   SoakProxy *proxy = user;
-  Link *link = g_new0 (Link, 1);
-  link->proxy = proxy;
-  link->node.data = link;
-  S_init_end (link, &link->caller);
-  S_init_end (link, &link->server);
-  g_queue_push_tail_link (&proxy->links, &link->node);
-  link->caller.stream = stream;
-  mr_stream_set_handler (stream, &link->caller.host);
-  link->server.stream =
-      mr_stream_connect (proxy->loop, &link->server.host, "127.0.0.1", proxy->server_port);
-  if (!link->server.stream)
-    S_link_free (link);
+  ProxyConnection *connection = g_new0 (ProxyConnection, 1);
+  connection->proxy = proxy;
+  connection->node.data = connection;
+  S_init_endpoint (connection, &connection->caller);
+  S_init_endpoint (connection, &connection->server);
+  g_queue_push_tail_link (&proxy->connections, &connection->node);
+  connection->caller.stream = stream;
+  mr_stream_set_handler (stream, &connection->caller.handler);
+  connection->server.stream =
+      mr_stream_connect (proxy->loop, &connection->server.handler, "127.0.0.1", proxy->server_port);
+  if (!connection->server.stream)
+    S_connection_free (connection);
 }
 
 SoakProxy *
@@ -166,7 +167,7 @@
     .port = port,
     .server_port = server_port,
   };
-  g_queue_init (&proxy->links);
+  g_queue_init (&proxy->connections);
   soak_proxy_set_open (proxy, TRUE);
   return proxy;
 }
@@ -181,7 +182,7 @@
     }
   if (!open || proxy->listener)
     return;
-  proxy->listener = mr_listener_new (proxy->loop, "127.0.0.1", proxy->port, S_accepted, proxy);
+  proxy->listener = mr_listener_new (proxy->loop, "127.0.0.1", proxy->port, S_on_accept, proxy);
   if (proxy->listener)
     return;
   fprintf (stderr, "soak: %s\n", mr_status_message ());
@@ -197,29 +198,29 @@
 void
 soak_proxy_reopen (SoakProxy *proxy)
 {
-  if (!proxy->listener && mr_now () > proxy->closed_at + REOPEN)
+  if (!proxy->listener && mr_now () > proxy->closed_at + REOPEN_DELAY)
     soak_proxy_set_open (proxy, TRUE);
 }
 
 void
-soak_proxy_lose (SoakProxy *proxy)
+soak_proxy_silence_connections (SoakProxy *proxy)
 {
-  for (GList *node = proxy->links.head; node; node = node->next)
-    ((Link *) node->data)->lost = TRUE;
+  for (GList *node = proxy->connections.head; node; node = node->next)
+    ((ProxyConnection *) node->data)->silenced = TRUE;
 }
 
 void
-soak_proxy_reset (SoakProxy *proxy)
+soak_proxy_reset_connections (SoakProxy *proxy)
 {
-  while (proxy->links.head)
-    S_link_free (proxy->links.head->data);
+  while (proxy->connections.head)
+    S_connection_free (proxy->connections.head->data);
 }
 
 void
 soak_proxy_on_timer (MrTimer *timer)
 {
-  End *end = timer->owner;
+  Endpoint *end = timer->owner;
   if (end->stream)
-    mr_stream_write (end->stream, mr_text_of (end->waiting));
-  g_string_truncate (end->waiting, 0);
+    mr_stream_write (end->stream, mr_text_of (end->pending));
+  g_string_truncate (end->pending, 0);
 }
--- a/test/soak/proxy.h
+++ b/test/soak/proxy.h
@@ -1,5 +1,5 @@
-/* A TCP proxy on loopback whose connections can be delayed, reset, or silenced
- * in one direction or both, as something between two ends would do it. */
+/* TCP proxy on loopback that injects network faults: connections can be delayed, reset,
+ * or silenced in one direction or both. */
 #pragma once
 
 #include "loop.h"
@@ -10,27 +10,27 @@
 typedef enum
 {
   PROXY_OK,
-  PROXY_DELAY,       /* bytes wait for 150 ms */
-  PROXY_SILENT_UP,   /* nothing reaches the server */
-  PROXY_SILENT_DOWN, /* nothing comes back */
+  PROXY_DELAY,       /* bytes are delayed by 150 ms */
+  PROXY_SILENT_UP,   /* drops bytes to the server */
+  PROXY_SILENT_DOWN, /* drops bytes from the server */
   PROXY_SILENT,
-  PROXY_MODES,
+  PROXY_MODE_COUNT,
 } SoakProxyMode;
 
 SoakProxy *soak_proxy_new (MrLoop *loop, MrTimers *timers, int port, int server_port);
 
-/* Of all connections, those opened from now on included. */
+/* Applies to all connections, also to those opened later. */
 void soak_proxy_set_mode (SoakProxy *proxy, SoakProxyMode mode);
 
-/* While its server does not run, nobody listens at the proxy's port either. */
+/* Opens or closes the listener; it is closed while the server does not run. */
 void soak_proxy_set_open (SoakProxy *proxy, gboolean open);
 
-/* Its server runs: listens again if that was missed. */
+/* Called while the server runs: opens the listener again if it was closed. */
 void soak_proxy_reopen (SoakProxy *proxy);
 
-/* Connections that stand now go silent for good; new ones work. */
-void soak_proxy_lose (SoakProxy *proxy);
-void soak_proxy_reset (SoakProxy *proxy);
+/* Silences all existing connections for good; new ones work. */
+void soak_proxy_silence_connections (SoakProxy *proxy);
+void soak_proxy_reset_connections (SoakProxy *proxy);
 
-/* @timer has come due; passes the bytes on that waited. */
+/* Called when @timer is due; forwards the delayed bytes. */
 void soak_proxy_on_timer (MrTimer *timer);
--- a/test/soak/soak.c
+++ b/test/soak/soak.c
@@ -1,26 +1,29 @@
-/* Fault soak: a store, searchers and relays as separate processes on loopback,
- * faults from outside them in overlapping series, promises checked from what
- * callers and searchers see.
+/* Fault soak: a store, searchers and relays run as separate processes on loopback.
+ * Overlapping faults are injected from outside, and guarantees are checked from what
+ * callers and searchers observe.
  *
  *     soak BUILD SEED SECONDS FIRST-PORT
  *
- * Everything that is drawn comes from SEED.  Promises:
- *   own      an answer belongs to its request, whole, from a searcher that ran it
- *   merged   parts are of this request, one a service, of one version's set; the
- *            body is the greatest records of the parts that are named
- *   once     an order runs at most once
- *   not run  what was refused never ran
- *   asked    searchers run only what callers sent
- *   crasher  once a content has ended three searchers, and the news had its time, relays
- *            that were left alone send it to three at most, and so do relays that start all
- *            at once and can read what the store holds of it
- *   evacuated  a relay that was left alone sends nothing to a failure domain that has been
- *            evacuated for EVACUATED_KNOWN, where the store was not disturbed
- *   blocked  and nothing else is blocked for it
- *   answered a relay that was left alone answers within the route's time
- *   heals    after the last fault every relay serves whole answers from the
- *            newest version
- *   named    and each relay names all of them to callers */
+ * All random choices derive from SEED.  Guarantees, by the label of their messages:
+ *   own        a response is complete, belongs to its request and comes from a searcher
+ *              that ran it
+ *   merged     the parts are of this request, one for each service, and of the services
+ *              of one configuration version; the body has the greatest records of the
+ *              parts that are named
+ *   once       an order runs at most once
+ *   not run    a refused order never ran
+ *   asked      searchers run only requests that callers sent
+ *   crasher    after a content has crashed three searchers and the quarantine had time to
+ *              spread, at most three calls of it reach searchers from undisturbed relays,
+ *              or from relays that all restart at once and can read the quarantine from
+ *              the store
+ *   blocked    no other content is quarantined
+ *   evacuated  an undisturbed relay sends nothing to a failure domain that has been
+ *              evacuated for EVACUATION_DELAY_MAX, if the store was not disturbed
+ *   answered   an undisturbed relay responds within the route's time limit
+ *   heals      after the last fault every relay serves complete responses from the newest
+ *              configuration version
+ *   named      and each relay lists all relays to callers */
 
 #include "soak.h"
 
@@ -36,21 +39,21 @@
   EXIT_USAGE = 2,
 };
 
-static const MrTime HEAL = 12 * MR_SECOND;
-/* A tick that comes later than this is told of: relays that share the machine may have stood
- * still as well. */
-static const MrTime STALL = 250 * MR_MS;
-/* What ends searchers is asked for again and again for so long after a loss of all relays. */
-static const MrTime INSIST = 2 * MR_SECOND;
+static const MrTime RECOVERY_TIME = 12 * MR_SECOND;
+/* A tick that is later than this is logged: the relays on the same machine may have been
+ * stalled as well. */
+static const MrTime STALL_MIN = 250 * MR_MS;
+/* After all relays were killed, crashing requests are sent at a high rate for this long. */
+static const MrTime CRASH_BURST_TIME = 2 * MR_SECOND;
 
 int soak_first_port;
 
 void
-soak_broken (Soak *s, const char *format, ...)
+soak_violation (Soak *s, const char *format, ...)
 {
   va_list args;
-  s->broken++;
-  printf ("%8.3f BROKEN ", (double) (mr_now () - s->start) / (double) MR_SECOND);
+  s->violations++;
+  printf ("%8.3f VIOLATION ", (double) (mr_now () - s->start) / (double) MR_SECOND);
   va_start (args, format);
   vprintf (format, args);
   va_end (args);
@@ -58,7 +61,7 @@
 }
 
 void
-soak_say (const Soak *s, const char *format, ...)
+soak_log (const Soak *s, const char *format, ...)
 {
   va_list args;
   printf ("%8.3f ", (double) (mr_now () - s->start) / (double) MR_SECOND);
@@ -69,89 +72,90 @@
 }
 
 guint
-soak_pick (Soak *s, guint below)
+soak_random_below (Soak *s, guint below)
 {
   return (guint) g_rand_int_range (s->random, 0, (gint32) below);
 }
 
 MrTime
-soak_between (Soak *s, double least_ms, double most_ms)
+soak_random_time (Soak *s, double least_ms, double most_ms)
 {
   return (MrTime) (g_rand_double_range (s->random, least_ms, most_ms) * (double) MR_MS);
 }
 
-/* The run. */
+/* Main loop. */
 
 static void
-S_begin_healing (Soak *s)
+S_begin_recovery (Soak *s)
 {
-  s->healing_checked = TRUE;
-  soak_restore (s, TRUE);
+  s->recovery_started = TRUE;
+  soak_end_faults (s, TRUE);
   if (s->evacuation.since != 0)
-    soak_evacuate (s, FALSE);
+    soak_set_evacuation (s, FALSE);
   for (guint i = 0; i < SEARCHERS; i++)
-    soak_tell (soak_first_port + SEARCHER_PORT + (int) i, "PUT", "/mode/ok", "");
-  soak_configure (s);
+    soak_http_send (soak_first_port + SEARCHER_PORT + (int) i, "PUT", "/mode/ok", "");
+  soak_publish_configuration (s);
   s->now = mr_now ();
-  s->faults_end = s->now + HEAL / 2;
-  s->end = s->now + HEAL;
-  soak_say (s, "faults end, version %u", s->version);
+  s->faults_end = s->now + RECOVERY_TIME / 2;
+  s->end = s->now + RECOVERY_TIME;
+  soak_log (s, "faults end, version %u", s->version);
 }
 
 static MrTime
-S_seconds (GRand *random, double least, double most)
+S_random_seconds (GRand *random, double least, double most)
 {
   return (MrTime) (g_rand_double_range (random, least, most) * (double) MR_SECOND);
 }
 
 static void
-S_note_stall (Soak *s, MrTime now)
+S_track_stall (Soak *s, MrTime now)
 {
   MrTime stall = s->next_tick > 0 ? now - s->next_tick : 0;
   s->longest_stall = MAX (s->longest_stall, stall);
-  if (stall > STALL)
-    soak_say (s, "this process stood still for %.3f s", (double) stall / (double) MR_SECOND);
+  if (stall > STALL_MIN)
+    soak_log (s, "this process was stalled for %.3f s", (double) stall / (double) MR_SECOND);
 }
 
 static MrTime
 S_on_tick (MrLoopHandler *host, MrTime now)
 {
   Soak *s = (Soak *) host;
-  S_note_stall (s, now);
+  S_track_stall (s, now);
   s->now = now;
   for (MrTimer *t = mr_timers_pop (s->proxy_timers, now); t;
        t = mr_timers_pop (s->proxy_timers, now))
     soak_proxy_on_timer (t);
   for (MrTimer *t = mr_timers_pop (s->timers, now); t; t = mr_timers_pop (s->timers, now))
-    soak_caller_overdue (t);
+    soak_on_caller_timeout (t);
   while (now >= s->next_request)
     {
-      s->next_request += soak_between (s, 0, 2000.0 / REQUESTS_PER_SECOND);
-      soak_ask (s);
+      s->next_request += soak_random_time (s, 0, 2000.0 / REQUESTS_PER_SECOND);
+      soak_send_request (s);
     }
-  soak_note_ends (s);
-  soak_restore (s, FALSE);
-  soak_note_store (s);
+  soak_reap_searchers (s);
+  soak_end_faults (s, FALSE);
+  soak_track_store_faults (s);
   if (now >= s->loss.next && now < s->faults_end)
     {
-      s->loss.next = now + S_seconds (s->loss.random, 8, 20);
-      soak_lose_all (s);
+      s->loss.next = now + S_random_seconds (s->loss.random, 8, 20);
+      soak_kill_all_relays (s);
     }
   if (now >= s->crasher.next && now < s->faults_end)
     {
-      gboolean starting = s->loss.last != 0 && now < s->loss.last + INSIST;
-      s->crasher.next = now + (starting ? S_seconds (s->crasher.random, 0.002, 0.02)
-                                        : S_seconds (s->crasher.random, 0.05, 3));
-      soak_ask_crasher (s);
+      gboolean relays_starting =
+          s->loss.killed_at != 0 && now < s->loss.killed_at + CRASH_BURST_TIME;
+      s->crasher.next = now + (relays_starting ? S_random_seconds (s->crasher.random, 0.002, 0.02)
+                                               : S_random_seconds (s->crasher.random, 0.05, 3));
+      soak_send_crashing_request (s);
     }
   if (now >= s->evacuation.next && now < s->faults_end)
-    soak_evacuate (s, s->evacuation.since == 0);
-  if (!s->healing_checked && now >= s->faults_end)
-    S_begin_healing (s);
-  else if (!s->healing_checked && now >= s->next_fault)
+    soak_set_evacuation (s, s->evacuation.since == 0);
+  if (!s->recovery_started && now >= s->faults_end)
+    S_begin_recovery (s);
+  else if (!s->recovery_started && now >= s->next_fault)
     {
-      s->next_fault = now + soak_between (s, 200, 1500);
-      soak_disturb (s);
+      s->next_fault = now + soak_random_time (s, 200, 1500);
+      soak_inject_fault (s);
     }
   MrTime next = MIN (s->next_request, MIN (s->next_fault, now + 50 * MR_MS));
   next = MIN (next, MIN (mr_timers_next_due (s->timers), mr_timers_next_due (s->proxy_timers)));
@@ -160,25 +164,26 @@
 }
 
 static void
-S_check_crasher (Soak *s, GHashTable *runs)
+S_check_crashing_requests (Soak *s, GHashTable *runs)
 {
   enum
   {
-    LATE_MOST = 3,
+    LATE_CALLS_MAX = 3,
   };
   GHashTableIter iter;
   gpointer id = NULL;
   guint late = 0;
-  g_hash_table_iter_init (&iter, s->crasher.late);
+  g_hash_table_iter_init (&iter, s->crasher.late_ids);
   while (g_hash_table_iter_next (&iter, &id, NULL))
     late += GPOINTER_TO_UINT (g_hash_table_lookup (runs, id));
-  if (late > LATE_MOST)
-    soak_broken (s, "crasher: %u calls of it reached searchers after three had ended", late);
-  soak_say (s, "%u searchers ended by themselves; later %u requests that end them, %u calls",
-            s->crasher.ended, g_hash_table_size (s->crasher.late), late);
+  if (late > LATE_CALLS_MAX)
+    soak_violation (s, "crasher: %u calls reached searchers after the third crash", late);
+  soak_log (
+      s, "%u searchers crashed; after the third crash %u crashing requests were sent, %u calls ran",
+      s->crasher.crashes, g_hash_table_size (s->crasher.late_ids), late);
 }
 
-/* What the searchers ran, from their logs: lines "run ID". */
+/* Checks which requests ran, from the lines "run ID" in the searchers' logs. */
 static void
 S_check_runs (Soak *s)
 {
@@ -186,22 +191,23 @@
   for (guint i = 0; i < SEARCHERS; i++)
     {
       g_autofree char *text = NULL;
-      g_autofree char *path = g_strdup_printf ("%s/searcher%u.log", s->folder, i);
+      g_autofree char *path = g_strdup_printf ("%s/searcher%u.log", s->directory, i);
       g_file_get_contents (path, &text, NULL, NULL);
       g_auto (GStrv) lines = g_strsplit (text ? text : "", "\n", -1);
       for (char **line = lines; *line; line++)
         if (g_str_has_prefix (*line, "run "))
           {
             const char *id = *line + 4;
-            const SoakEvacuated *evacuated = g_hash_table_lookup (s->evacuation.sent, id);
+            const SoakEvacuatedRequest *evacuated = g_hash_table_lookup (s->evacuation.sent, id);
             if (evacuated && evacuated->domain == i % RELAYS)
-              soak_broken (s, "evacuated: '%s' ran in z%u", id, evacuated->domain);
+              soak_violation (s, "evacuated: request %s ran in z%u", id, evacuated->domain);
             guint count = GPOINTER_TO_UINT (g_hash_table_lookup (runs, id)) + 1;
             g_hash_table_replace (runs, g_strdup (id), GUINT_TO_POINTER (count));
           }
     }
-  S_check_crasher (s, runs);
-  soak_say (s, "%u requests were sent beside evacuations", g_hash_table_size (s->evacuation.sent));
+  S_check_crashing_requests (s, runs);
+  soak_log (s, "%u requests were checked against an evacuation",
+            g_hash_table_size (s->evacuation.sent));
   GHashTableIter iter;
   gpointer id = NULL;
   gpointer value = NULL;
@@ -210,28 +216,29 @@
     {
       gpointer end = NULL;
       if (!g_hash_table_contains (s->sent, id))
-        soak_broken (s, "asked: '%s' ran and no caller sent it", (const char *) id);
+        soak_violation (s, "asked: request %s ran, but no caller sent it", (const char *) id);
       if (!g_hash_table_lookup_extended (s->orders, id, NULL, &end))
         continue;
       if (GPOINTER_TO_UINT (value) > 1)
-        soak_broken (s, "once: order %s ran %u times", (const char *) id, GPOINTER_TO_UINT (value));
+        soak_violation (s, "once: order %s ran %u times", (const char *) id,
+                        GPOINTER_TO_UINT (value));
       if (GPOINTER_TO_INT (end) == ORDER_REFUSED)
-        soak_broken (s, "not run: order %s was refused and ran", (const char *) id);
+        soak_violation (s, "not run: order %s was refused, but ran", (const char *) id);
     }
 }
 
-/* Callers are told of every relay by each of them: none is taken for dead, or for
- * an earlier process of its name. */
+/* Each relay must list all relays to callers: none is considered dead or taken for an
+ * earlier process of the same name. */
 static void
-S_check_named (Soak *s)
+S_check_discovery (Soak *s)
 {
   for (guint i = 0; i < RELAYS; i++)
     {
-      g_autofree char *answer =
-          soak_fetch (soak_first_port + RELAY_PORT + 10 * (int) i + 2, "/resolve?name=h");
-      g_auto (GStrv) parts = g_strsplit (answer, "127.0.0.1:", -1);
+      g_autofree char *response =
+          soak_http_get (soak_first_port + RELAY_PORT + 10 * (int) i + 2, "/resolve?name=h");
+      g_auto (GStrv) parts = g_strsplit (response, "127.0.0.1:", -1);
       if (g_strv_length (parts) != RELAYS + 1)
-        soak_broken (s, "named: relay %u names '%s'", i, answer);
+        soak_violation (s, "named: relay %u lists '%s'", i, response);
     }
 }
 
@@ -239,7 +246,7 @@
 S_start_all (Soak *s)
 {
   soak_start_standin (s, &s->store, "store", soak_first_port + STORE_PORT, NULL, "store.log");
-  soak_configure (s);
+  soak_publish_configuration (s);
   for (guint i = 0; i < SEARCHERS; i++)
     {
       s->searcher_proxies[i] =
@@ -283,7 +290,7 @@
   mr_log_set_level (MR_LOG_ERROR);
   signal (SIGPIPE, SIG_IGN);
   setvbuf (stdout, NULL, _IOLBF, 0);
-  /* Static, for it lives as long as the process, as all that it owns does. */
+  /* Static, because it and all it owns live until the process exits. */
   static Soak s;
   s = (Soak){
     .host = { .on_tick = S_on_tick },
@@ -291,14 +298,14 @@
     .proxy_timers = mr_timers_new (),
     .random = g_rand_new_with_seed ((guint32) atoi (argv[2])),
     .build = argv[1],
-    .only = getenv ("SOAK_ONLY"),
-    .folder = g_dir_make_tmp ("soak-XXXXXX", NULL),
+    .only_mode = getenv ("SOAK_ONLY"),
+    .directory = g_dir_make_tmp ("soak-XXXXXX", NULL),
     .orders = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL),
     .sent = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL),
   };
-  s.crasher = (Crasher){
+  s.crasher = (CrashingRequests){
     .random = g_rand_new_with_seed ((guint32) atoi (argv[2]) + 1),
-    .late = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL),
+    .late_ids = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL),
   };
   s.evacuation = (Evacuation){
     .random = g_rand_new_with_seed ((guint32) atoi (argv[2]) + 3),
@@ -311,23 +318,22 @@
   s.now = mr_now ();
   s.next_request = s.now + 2 * MR_SECOND;
   s.crasher.next = s.now + 5 * MR_SECOND;
-  s.evacuation.next = s.now + S_seconds (s.evacuation.random, 3, 6);
-  s.loss.next = s.now + S_seconds (s.loss.random, 10, 20);
+  s.evacuation.next = s.now + S_random_seconds (s.evacuation.random, 3, 6);
+  s.loss.next = s.now + S_random_seconds (s.loss.random, 10, 20);
   s.next_fault = s.now + 4 * MR_SECOND;
   s.faults_end = s.now + 4 * MR_SECOND + atoi (argv[3]) * MR_SECOND;
   s.end = MR_NEVER;
   while (mr_now () < s.end)
     mr_loop_step (s.loop);
-  S_check_named (&s);
+  S_check_discovery (&s);
   S_stop_all (&s);
   S_check_runs (&s);
   for (guint i = 0; i < RELAYS; i++)
-    if (s.healed[i] == 0)
-      soak_broken (&s, "heals: relay %u gave no whole answer of the newest version", i);
-  printf (
-      "seed %s: %u answers, %u served, %u orders, %u promises broken, stood still for %.3f s at "
-      "most; logs in %s\n",
-      argv[2], s.answered, s.served, g_hash_table_size (s.orders), s.broken,
-      (double) s.longest_stall / (double) MR_SECOND, s.folder);
-  return s.broken == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
+    if (s.whole_answers[i] == 0)
+      soak_violation (&s, "heals: relay %u served no complete response of the newest version", i);
+  printf ("seed %s: %u responses, %u successful, %u orders, %u violations, longest stall %.3f s; "
+          "logs in %s\n",
+          argv[2], s.answered, s.served, g_hash_table_size (s.orders), s.violations,
+          (double) s.longest_stall / (double) MR_SECOND, s.directory);
+  return s.violations == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/test/soak/soak.h
+++ b/test/soak/soak.h
@@ -1,8 +1,8 @@
-/* Inside of the fault soak, shared by its files:
- *   soak.c            the run, what is checked at its end
- *   soak_processes.c  starting, stopping and telling the processes
- *   soak_callers.c    callers and what they check of each answer
- *   soak_faults.c     what is done to the processes, their paths and clocks */
+/* Internal declarations of the fault soak:
+ *   soak.c            main loop and the checks at the end of the run
+ *   soak_processes.c  starts the processes and sends them operator requests
+ *   soak_callers.c    callers and the checks of each response
+ *   soak_faults.c     faults of the processes, their network paths and clocks */
 #pragma once
 
 #include "http_message.h"
@@ -13,18 +13,18 @@
 
 enum
 {
-  /* Beside the first port, which is given. */
+  /* Offsets from the first port, which is an argument. */
   STORE_PORT = 0,
-  STORE_PROXY = 10, /* one a relay */
+  STORE_PROXY = 10, /* one for each relay */
   SEARCHER_PORT = 100,
-  SEARCHER_PROXY = 200, /* one a searcher: the address that is listed */
-  RELAY_PORT = 300,     /* ten a relay: front, ready, directory, control */
+  SEARCHER_PROXY = 200, /* one for each searcher; the address that is registered */
+  RELAY_PORT = 300,     /* ten for each relay: front, ready, directory, control */
   SERVICES = 3,
-  SEARCHERS = 6, /* two a service, each in a failure domain of its own */
+  SEARCHERS = 6, /* two for each service, in different failure domains */
   RELAYS = 3,
   REQUESTS_PER_SECOND = 80,
   RECORDS = 8,
-  TOP = 4,
+  TOP_K = 4,
   ID_BYTES = 24,
 };
 
@@ -33,59 +33,60 @@
 typedef struct
 {
   pid_t pid;
-  MrTime disturbed;  /* last signal, start or fault on its way */
-  MrTime back_at;    /* when it is continued or started again; 0: it runs */
-  gboolean stopped;  /* by SIGSTOP */
-  guint generation;  /* of a searcher */
-  gint64 started_ms; /* of a searcher, since 1970 */
+  MrTime last_disturbed; /* last signal, start or fault of its network path */
+  MrTime recovers_at;    /* when it is continued or restarted; 0: it runs */
+  gboolean stopped;      /* by SIGSTOP */
+  guint generation;      /* of a searcher */
+  gint64 started_ms;     /* of a searcher, since 1970 */
 } Child;
 
-/* A request that ends each searcher that begins it: the same content each time. */
+/* Requests that crash every searcher that starts them; all have the same content. */
 typedef struct
 {
-  GRand *random; /* its own, so that the faults of a seed are the same without it */
+  GRand *random; /* separate, so that the other faults of a seed do not depend on it */
   MrTime next;
-  guint ended; /* searchers */
-  MrTime third_end;
-  GHashTable *late; /* ids sent by relays that could know, later than the news takes */
-} Crasher;
+  guint crashes; /* searchers */
+  MrTime third_crash;
+  GHashTable *late_ids; /* ids sent after the third crash, later than the quarantine takes to reach
+                           the relay */
+} CrashingRequests;
 
-/* All relays are killed at one moment: what they know by then is in the store, or lost. */
+/* All relays are killed at once; only what is in the store by then survives. */
 typedef struct
 {
-  GRand *random; /* its own, as the crasher's */
+  GRand *random; /* separate, as for crashing requests */
   MrTime next;
-  MrTime last;            /* 0: not yet */
-  MrTime store_disturbed; /* or a relay's way to it, last */
-  gboolean saved;         /* the store held what had ended three searchers */
-} Loss;
+  MrTime killed_at;           /* 0: never */
+  MrTime store_disturbed;     /* last fault of the store or of a relay's path to it */
+  gboolean quarantine_stored; /* at that time the store had the quarantine */
+} RelayLoss;
 
-/* A failure domain whose searchers are to get nothing. */
+/* Evacuation of a failure domain: its searchers must not get requests. */
 typedef struct
 {
-  GRand *random; /* its own, as the crasher's */
-  MrTime next;   /* when it begins, or ends */
-  MrTime since;  /* 0: none is evacuated */
+  GRand *random; /* separate, as for crashing requests */
+  MrTime next;   /* when the next evacuation begins, or the current one ends */
+  MrTime since;  /* 0: no domain is evacuated */
   guint domain;
-  GHashTable *sent;              /* id -> SoakEvacuated, of requests whose relay has to know */
-  MrTime store_disturbed;        /* last */
-  MrTime path_disturbed[RELAYS]; /* a relay's way to the store, last */
+  GHashTable *sent;       /* id -> SoakEvacuatedRequest, of requests whose relay must know */
+  MrTime store_disturbed; /* last fault of the store */
+  MrTime path_last_disturbed[RELAYS]; /* last fault of a relay's path to the store */
 } Evacuation;
 
 typedef struct
 {
   guint domain;
-  MrTime at;
-} SoakEvacuated;
+  MrTime sent_at;
+} SoakEvacuatedRequest;
 
-/* What became of an order. */
+/* Outcome of an order as told to the caller. */
 typedef enum
 {
   ORDER_OPEN,
   ORDER_DONE,
   ORDER_REFUSED,
   ORDER_UNKNOWN,
-} OrderEnd;
+} OrderOutcome;
 
 struct Soak
 {
@@ -95,77 +96,77 @@
   MrTimers *proxy_timers;
   GRand *random;
   const char *build;
-  const char *only; /* one mode of searchers in place of all faults */
-  char *folder;
+  const char *only_mode; /* sets all searchers to this mode instead of injecting faults */
+  char *directory;
   Child store;
   Child searchers[SEARCHERS];
   Child relays[RELAYS];
-  gint64 *clocks[RELAYS]; /* us that a relay's time of day is off by; NULL: not built */
+  gint64 *clock_offsets[RELAYS]; /* offset of a relay's wall clock, us; NULL: library not built */
   SoakProxy *store_proxies[RELAYS];
   SoakProxy *searcher_proxies[SEARCHERS];
-  MrTime proxies_back[RELAYS + SEARCHERS];
+  MrTime proxies_recover_at[RELAYS + SEARCHERS];
   GQueue idle[RELAYS]; /* Caller */
   GHashTable *orders;  /* id -> OrderEnd */
   GHashTable *sent;    /* set of ids */
   guint64 last_id;
   guint version;
-  gboolean wide; /* the version names three services */
+  gboolean three_services; /* the configuration has three services */
   MrTime now;
   MrTime start;
-  Crasher crasher;
-  Loss loss;
+  CrashingRequests crasher;
+  RelayLoss loss;
   Evacuation evacuation;
   MrTime next_tick;
-  MrTime longest_stall; /* of this process, as the machine gave it no time */
+  MrTime longest_stall; /* of this process, when it was not scheduled */
   MrTime next_request;
   MrTime next_fault;
   MrTime faults_end;
   MrTime end;
-  MrTime store_back;
+  MrTime store_recovers_at;
   guint answered;
   guint served;
-  guint broken; /* promises */
-  gboolean healing_checked;
-  guint healed[RELAYS];
+  guint violations; /* of the checked guarantees */
+  gboolean recovery_started;
+  guint whole_answers[RELAYS];
 };
 
-/* All ports are this one plus a number from above. */
+/* All ports are this one plus an offset from above. */
 extern int soak_first_port;
 
-void soak_broken (Soak *s, const char *format, ...) G_GNUC_PRINTF (2, 3);
-void soak_say (const Soak *s, const char *format, ...) G_GNUC_PRINTF (2, 3);
-guint soak_pick (Soak *s, guint below);
-MrTime soak_between (Soak *s, double least_ms, double most_ms);
+void soak_violation (Soak *s, const char *format, ...) G_GNUC_PRINTF (2, 3);
+void soak_log (const Soak *s, const char *format, ...) G_GNUC_PRINTF (2, 3);
+guint soak_random_below (Soak *s, guint below);
+MrTime soak_random_time (Soak *s, double least_ms, double most_ms);
 
 void soak_start_standin (
     Soak *s, Child *child, const char *role, int port, const char *id, const char *log);
 void soak_start_searcher (Soak *s, guint index);
 void soak_start_relay (Soak *s, guint index);
-void soak_withdraw (Soak *s, guint index);
-/* A short HTTP exchange of the operator's with a stand-in; waits for it. */
-void soak_tell (int port, const char *method, const char *path, const char *body);
-/* What GET @path gives, new; empty if nothing. */
-char *soak_fetch (int port, const char *path);
-/* Puts the next version in force, with two or three services. */
-void soak_configure (Soak *s);
-
-/* Sends one request of a caller; its answer is checked when it comes. */
-void soak_ask (Soak *s);
-/* One that ends each searcher that begins it. */
-void soak_ask_crasher (Soak *s);
-/* Finds out which searchers have ended by themselves. */
-void soak_note_ends (Soak *s);
-/* Keeps when the store, or a relay's way to it, was disturbed last. */
-void soak_note_store (Soak *s);
-void soak_lose_all (Soak *s);
-/* TRUE if relays that have started since the loss of all could read what is quarantined. */
-gboolean soak_store_tells (const Soak *s);
-/* A caller has waited for too long. */
-void soak_caller_overdue (MrTimer *timer);
-
-/* Begins an evacuation, or ends the one that stands. */
-void soak_evacuate (Soak *s, gboolean begins);
-/* Draws one fault; with SOAK_ONLY set, always that mode of all searchers. */
-void soak_disturb (Soak *s);
-/* Ends the faults that are due, or all. */
-void soak_restore (Soak *s, gboolean all);
+void soak_unregister_searcher (Soak *s, guint index);
+/* Sends an operator's request to a stand-in and waits for the response. */
+void soak_http_send (int port, const char *method, const char *path, const char *body);
+/* Returns the body of GET @path, to be freed by the caller; empty on failure. */
+char *soak_http_get (int port, const char *path);
+/* Publishes the next configuration version, with two or three services. */
+void soak_publish_configuration (Soak *s);
+
+/* Sends a request of random kind; the response is checked when it arrives. */
+void soak_send_request (Soak *s);
+/* Sends a request that crashes every searcher that starts it. */
+void soak_send_crashing_request (Soak *s);
+/* Reaps crashed searchers and schedules their restart. */
+void soak_reap_searchers (Soak *s);
+/* Records the time of current faults of the store and of the relays' paths to it. */
+void soak_track_store_faults (Soak *s);
+void soak_kill_all_relays (Soak *s);
+/* TRUE if relays restarted since all were killed can read the quarantine from the store. */
+gboolean soak_store_has_quarantine (const Soak *s);
+/* Called when a caller has waited too long for a response. */
+void soak_on_caller_timeout (MrTimer *timer);
+
+/* Begins an evacuation or ends the current one. */
+void soak_set_evacuation (Soak *s, gboolean begins);
+/* Injects a random fault; with SOAK_ONLY set, always that mode of all searchers. */
+void soak_inject_fault (Soak *s);
+/* Ends the faults that are due, or all of them. */
+void soak_end_faults (Soak *s, gboolean all);
--- a/test/soak/soak_callers.c
+++ b/test/soak/soak_callers.c
@@ -4,48 +4,48 @@
 
 #include <stdlib.h>
 
-/* Route's time limit in the configuration, and what a caller allows beyond. */
+/* Time limit of the routes in the configuration, and the tolerance of callers. */
 static const MrTime TIME_LIMIT = 1500 * MR_MS;
 static const MrTime TIME_SLACK = 1200 * MR_MS;
-/* After a relay was disturbed its callers expect nothing for this long. */
+/* For this long after a fault of a relay its callers accept any outcome. */
 static const MrTime SETTLE = 4 * MR_SECOND;
-/* After a time of silence relays find out within this that their watches were swallowed. */
+/* After the store was silent, relays notice within this time that their watches were lost. */
 static const MrTime STORE_SETTLE = 7 * MR_SECOND;
-/* An evacuation is in force on all relays within this. */
-static const MrTime EVACUATED_KNOWN = 1 * MR_SECOND;
-/* Callers use kept connections for four fifths of the idle time that they are
- * told, not longer. */
-static const MrTime IDLE_MOST = 12 * MR_SECOND;
+/* An evacuation is in force on all relays within this time. */
+static const MrTime EVACUATION_DELAY_MAX = 1 * MR_SECOND;
+/* Callers reuse an idle connection for four fifths of the idle timeout in the
+ * configuration. */
+static const MrTime IDLE_MAX = 12 * MR_SECOND;
 
 typedef enum
 {
-  ASK_ALL,
-  ASK_ONE,
-  ASK_ORDER,
-  ASK_KINDS,
-} AskKind;
+  REQUEST_MERGED,
+  REQUEST_SINGLE,
+  REQUEST_ORDER,
+  REQUEST_KIND_COUNT,
+} RequestKind;
 
-/* One caller's connection, with or without a request. */
+/* A caller's connection, with a request in progress or idle. */
 typedef struct
 {
-  MrStreamHandler host;
+  MrStreamHandler handler;
   Soak *soak;
   MrStream *stream;
   MrHttpParser *parser;
   MrTimer timer;
   guint relay;
-  AskKind kind;
+  RequestKind kind;
   gboolean crasher;
   char id[ID_BYTES]; /* empty: idle */
   MrTime sent;
   MrTime last_used;
-  GString *waiting;
+  GString *request;
 } Caller;
 
-/* Answers. */
+/* Responses. */
 
 static GString *
-S_records_of (const char *id)
+S_expected_records (const char *id)
 {
   GString *body = g_string_new (NULL);
   for (guint i = 0; i < RECORDS; i++)
@@ -56,9 +56,10 @@
   return body;
 }
 
-/* Splits "SEARCHER.REQUEST"; FALSE if the signature is of another request. */
+/* Splits "SEARCHER.REQUEST" and copies the searcher's id; FALSE if the signature is of
+ * another request. */
 static gboolean
-S_read_signature (const char *signature, const char *request, char *searcher)
+S_parse_signature (const char *signature, const char *request, char *searcher)
 {
   const char *dot = strrchr (signature, '.');
   if (!dot || !g_str_equal (dot + 1, request) || dot - signature >= ID_BYTES)
@@ -68,23 +69,23 @@
 }
 
 static void
-S_check_one (Caller *c)
+S_check_single (Caller *c)
 {
   char searcher[ID_BYTES];
   g_autofree char *signature =
       mr_text_dup (mr_http_parser_find_field (c->parser, "X-Server-Stamp", NULL));
-  if (!S_read_signature (signature, c->id, searcher))
+  if (!S_parse_signature (signature, c->id, searcher))
     {
-      soak_broken (c->soak, "own: request %s got signature '%s'", c->id, signature);
+      soak_violation (c->soak, "own: request %s got signature '%s'", c->id, signature);
       return;
     }
-  g_autoptr (GString) expected = S_records_of (searcher);
+  g_autoptr (GString) expected = S_expected_records (searcher);
   if (!mr_text_equal (mr_http_parser_body (c->parser), mr_text_of (expected)))
-    soak_broken (c->soak, "own: request %s got another body", c->id);
+    soak_violation (c->soak, "own: request %s got a wrong body", c->id);
 }
 
 static void
-S_check_all (Caller *c)
+S_check_merged (Caller *c)
 {
   g_autofree char *list =
       mr_text_dup (mr_http_parser_find_field (c->parser, "X-Part-Stamps", NULL));
@@ -99,70 +100,72 @@
     {
       char searcher[ID_BYTES];
       guint service = 0;
-      if (S_read_signature (parts[i], c->id, searcher))
+      if (S_parse_signature (parts[i], c->id, searcher))
         service = 1U << ((guint) (searcher[1] - '0') / 2);
       if (service == 0 || (seen & service))
-        soak_broken (c->soak, "merged: request %s got part '%s' of '%s'", c->id, parts[i], list);
+        soak_violation (c->soak, "merged: request %s got invalid part '%s' of '%s'", c->id,
+                        parts[i], list);
       seen |= service;
-      bodies[i] = S_records_of (service ? searcher : "");
+      bodies[i] = S_expected_records (service ? searcher : "");
       texts[i] = mr_text_of (bodies[i]);
     }
   guint total = count + (guint) atoi (missing);
   if (count == 0 || count > SERVICES || total < 2 || total > SERVICES || (total == 2 && (seen & 4)))
-    soak_broken (c->soak, "merged: request %s has %u parts and %s missing", c->id, count, missing);
-  g_autoptr (GString) expected = mr_merge_records (texts, MIN (count, SERVICES), TOP);
+    soak_violation (c->soak, "merged: request %s has %u parts and %s missing parts", c->id, count,
+                    missing);
+  g_autoptr (GString) expected = mr_merge_records (texts, MIN (count, SERVICES), TOP_K);
   if (!mr_text_equal (mr_http_parser_body (c->parser), mr_text_of (expected)))
-    soak_broken (c->soak, "merged: request %s has other records than its parts", c->id);
+    soak_violation (c->soak, "merged: request %s has other records than its parts", c->id);
   for (guint i = 0; i < SERVICES; i++)
     if (bodies[i])
       g_string_free (bodies[i], TRUE);
-  guint wanted = c->soak->wide ? SERVICES : 2;
+  guint wanted = c->soak->three_services ? SERVICES : 2;
   if (c->soak->now > c->soak->faults_end && count == wanted && total == wanted)
-    c->soak->healed[c->relay]++;
+    c->soak->whole_answers[c->relay]++;
 }
 
 static void
-S_end_order (Soak *s, const char *id, OrderEnd end)
+S_set_order_outcome (Soak *s, const char *id, OrderOutcome end)
 {
   g_hash_table_replace (s->orders, g_strdup (id), GINT_TO_POINTER (end));
 }
 
-/* What ends searchers is never served, and nothing else is blocked for it. */
+/* Crashing requests never succeed, and no other request is quarantined. */
 static void
-S_check_blocked (const Caller *c, int status)
+S_check_quarantined (const Caller *c, int status)
 {
   MrText body = mr_http_parser_body (c->parser);
   gboolean blocked = status == 500 && g_strstr_len (body.data, (gssize) body.len, "quarantined");
   if (c->crasher && status < 500)
-    soak_broken (c->soak, "crasher: request %s got status %d", c->id, status);
+    soak_violation (c->soak, "crasher: request %s got status %d", c->id, status);
   if (!c->crasher && blocked)
-    soak_broken (c->soak, "blocked: request %s is quarantined", c->id);
+    soak_violation (c->soak, "blocked: request %s is quarantined", c->id);
 }
 
 static void
-S_on_answer (Caller *c)
+S_on_response (Caller *c)
 {
   Soak *s = c->soak;
   int status = mr_http_parser_status (c->parser);
   s->answered++;
-  S_check_blocked (c, status);
+  S_check_quarantined (c, status);
   if (c->crasher)
     return;
-  if (c->kind == ASK_ORDER)
-    S_end_order (s, c->id,
-                 status == 200   ? ORDER_DONE
-                 : status == 503 ? ORDER_REFUSED
-                                 : ORDER_UNKNOWN);
+  if (c->kind == REQUEST_ORDER)
+    S_set_order_outcome (s, c->id,
+                         status == 200   ? ORDER_DONE
+                         : status == 503 ? ORDER_REFUSED
+                                         : ORDER_UNKNOWN);
   if (status == 200)
     {
       s->served++;
-      if (c->kind == ASK_ALL)
-        S_check_all (c);
+      if (c->kind == REQUEST_MERGED)
+        S_check_merged (c);
       else
-        S_check_one (c);
+        S_check_single (c);
     }
   else if (status != 500 && status != 502 && status != 503 && status != 504)
-    soak_broken (s, "own: request %s got status %d", c->id, status);
+    soak_violation (s, "own: request %s got status %d", c->id, status);
 }
 
 /* Callers. */
@@ -173,52 +176,53 @@
   mr_timers_set (c->soak->timers, &c->timer, MR_NEVER);
   g_queue_remove (&c->soak->idle[c->relay], c);
   mr_http_parser_free (c->parser);
-  if (c->waiting)
-    g_string_free (c->waiting, TRUE);
+  if (c->request)
+    g_string_free (c->request, TRUE);
   g_free (c);
 }
 
-/* TRUE if nothing was done to the relay that would excuse it. */
+/* TRUE if no recent fault of the relay excuses a failure. */
 static gboolean
-S_left_alone (const Caller *c)
+S_relay_undisturbed (const Caller *c)
 {
   const Child *relay = &c->soak->relays[c->relay];
-  return c->sent > relay->disturbed + SETTLE && relay->back_at == 0;
+  return c->sent > relay->last_disturbed + SETTLE && relay->recovers_at == 0;
 }
 
 static void
-S_end_unanswered (Caller *c, const char *how)
+S_check_unanswered (Caller *c, const char *reason)
 {
-  if (c->kind == ASK_ORDER)
-    S_end_order (c->soak, c->id, ORDER_UNKNOWN);
-  if (S_left_alone (c))
-    soak_broken (c->soak, "answered: request %s at relay %u, %s after %.3f s", c->id, c->relay, how,
-                 (double) (mr_now () - c->sent) / (double) MR_SECOND);
+  if (c->kind == REQUEST_ORDER)
+    S_set_order_outcome (c->soak, c->id, ORDER_UNKNOWN);
+  if (S_relay_undisturbed (c))
+    soak_violation (c->soak, "answered: request %s at relay %u: %s after %.3f s", c->id, c->relay,
+                    reason, (double) (mr_now () - c->sent) / (double) MR_SECOND);
 }
 
 static void
-S_received (MrStreamHandler *host, MrStream *stream, MrText bytes)
+S_on_data (MrStreamHandler *handler, MrStream *stream, MrText bytes)
 {
-  Caller *c = (Caller *) host;
+  Caller *c = (Caller *) handler;
   (void) stream;
   gsize used = mr_http_parser_feed (c->parser, bytes);
   MrHttpState state = mr_http_parser_state (c->parser);
   if (c->id[0] == '\0' || state > MR_HTTP_DONE || used < bytes.len)
     {
-      soak_broken (c->soak, "own: bytes that belong to no answer, after request '%s'", c->id);
+      soak_violation (c->soak, "own: bytes beyond a response, after request '%s'", c->id);
       mr_stream_close (c->stream);
       S_caller_free (c);
       return;
     }
   if (state != MR_HTTP_DONE)
     return;
-  S_on_answer (c);
-  gboolean keep = mr_http_parser_keep_alive (c->parser) && soak_pick (c->soak, 10) < 8;
+  S_on_response (c);
+  gboolean keep_alive =
+      mr_http_parser_keep_alive (c->parser) && soak_random_below (c->soak, 10) < 8;
   c->id[0] = '\0';
   mr_timers_set (c->soak->timers, &c->timer, MR_NEVER);
   mr_http_parser_reset (c->parser);
   c->last_used = mr_now ();
-  if (keep)
+  if (keep_alive)
     {
       g_queue_push_tail (&c->soak->idle[c->relay], c);
       return;
@@ -228,36 +232,36 @@
 }
 
 static void
-S_ended (MrStreamHandler *host, MrStream *stream, MrStreamEnd end)
+S_on_end (MrStreamHandler *handler, MrStream *stream, MrStreamEnd end)
 {
-  Caller *c = (Caller *) host;
+  Caller *c = (Caller *) handler;
   gboolean refused = end == MR_STREAM_REFUSED;
   (void) stream;
-  if (c->id[0] != '\0' && refused && c->kind == ASK_ORDER)
-    S_end_order (c->soak, c->id, ORDER_UNKNOWN);
+  if (c->id[0] != '\0' && refused && c->kind == REQUEST_ORDER)
+    S_set_order_outcome (c->soak, c->id, ORDER_UNKNOWN);
   else if (c->id[0] != '\0' && !refused)
-    S_end_unanswered (c, "its connection ended");
+    S_check_unanswered (c, "connection closed");
   S_caller_free (c);
 }
 
 static void
-S_opened (MrStreamHandler *host, MrStream *stream)
+S_on_open (MrStreamHandler *handler, MrStream *stream)
 {
-  Caller *c = (Caller *) host;
+  Caller *c = (Caller *) handler;
   c->sent = mr_now ();
-  mr_stream_write (stream, mr_text_of (c->waiting));
+  mr_stream_write (stream, mr_text_of (c->request));
 }
 
-static const MrStreamHandler caller_host = { .on_open = S_opened,
-                                             .on_data = S_received,
-                                             .on_end = S_ended };
+static const MrStreamHandler caller_handler = { .on_open = S_on_open,
+                                                .on_data = S_on_data,
+                                                .on_end = S_on_end };
 
-/* A kept connection, or a new one. */
+/* Returns an idle connection that is still usable, or a new one. */
 static Caller *
-S_caller (Soak *s, guint relay)
+S_acquire_caller (Soak *s, guint relay)
 {
   Caller *c = g_queue_pop_head (&s->idle[relay]);
-  while (c && s->now > c->last_used + IDLE_MOST)
+  while (c && s->now > c->last_used + IDLE_MAX)
     {
       mr_stream_close (c->stream);
       S_caller_free (c);
@@ -266,12 +270,12 @@
   if (c)
     return c;
   c = g_new0 (Caller, 1);
-  c->host = caller_host;
+  c->handler = caller_handler;
   c->soak = s;
   c->relay = relay;
   c->timer.owner = c;
   c->parser = mr_http_parser_new (MR_HTTP_RESPONSE);
-  c->stream = mr_stream_connect (s->loop, &c->host, "127.0.0.1",
+  c->stream = mr_stream_connect (s->loop, &c->handler, "127.0.0.1",
                                  soak_first_port + RELAY_PORT + 10 * (int) relay);
   if (c->stream)
     return c;
@@ -284,81 +288,84 @@
 S_send (Caller *c, const char *line)
 {
   Soak *s = c->soak;
-  gboolean fresh = !c->waiting;
+  gboolean new_connection = !c->request;
   g_snprintf (c->id, sizeof c->id, "q%" G_GUINT64_FORMAT, ++s->last_id);
   g_hash_table_add (s->sent, g_strdup (c->id));
-  if (c->kind == ASK_ORDER)
-    S_end_order (s, c->id, ORDER_OPEN);
-  if (fresh)
-    c->waiting = g_string_new (NULL);
-  g_string_printf (c->waiting,
+  if (c->kind == REQUEST_ORDER)
+    S_set_order_outcome (s, c->id, ORDER_OPEN);
+  if (new_connection)
+    c->request = g_string_new (NULL);
+  g_string_printf (c->request,
                    "%s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline-Ms: 3000\r\n%s\r\n",
-                   line, c->id, c->kind == ASK_ORDER ? "Content-Length: 0\r\n" : "");
+                   line, c->id, c->kind == REQUEST_ORDER ? "Content-Length: 0\r\n" : "");
   c->sent = mr_now ();
   mr_timers_set (s->timers, &c->timer, c->sent + TIME_LIMIT + TIME_SLACK);
-  if (!fresh)
-    mr_stream_write (c->stream, mr_text_of (c->waiting));
+  if (!new_connection)
+    mr_stream_write (c->stream, mr_text_of (c->request));
 }
 
-/* TRUE if a relay was there to hear of the evacuation from the store, which was in order. */
+/* TRUE if at least one running relay must have received the evacuation from the store, as
+ * neither the store nor the path to it had a recent fault. */
 static gboolean
-S_was_heard (const Soak *s)
+S_evacuation_was_received (const Soak *s)
 {
   const Evacuation *e = &s->evacuation;
   if (e->since == 0 || e->since < e->store_disturbed + STORE_SETTLE)
     return FALSE;
   for (guint i = 0; i < RELAYS; i++)
-    if (s->relays[i].back_at == 0 && e->since > s->relays[i].disturbed + SETTLE &&
-        e->since > e->path_disturbed[i] + STORE_SETTLE)
+    if (s->relays[i].recovers_at == 0 && e->since > s->relays[i].last_disturbed + SETTLE &&
+        e->since > e->path_last_disturbed[i] + STORE_SETTLE)
       return TRUE;
   return FALSE;
 }
 
-/* Keeps the request if its relay has to know of the evacuation. */
+/* Records the request if its relay must know of the evacuation. */
 static void
-S_note_evacuation (const Caller *c)
+S_track_evacuation (const Caller *c)
 {
   Soak *s = c->soak;
   const Evacuation *e = &s->evacuation;
-  if (!S_was_heard (s) || s->now < e->since + EVACUATED_KNOWN || !S_left_alone (c))
+  if (!S_evacuation_was_received (s) || s->now < e->since + EVACUATION_DELAY_MAX ||
+      !S_relay_undisturbed (c))
     return;
-  SoakEvacuated *sent = g_new (SoakEvacuated, 1);
-  *sent = (SoakEvacuated){ .domain = e->domain, .at = s->now };
+  SoakEvacuatedRequest *sent = g_new (SoakEvacuatedRequest, 1);
+  *sent = (SoakEvacuatedRequest){ .domain = e->domain, .sent_at = s->now };
   g_hash_table_insert (s->evacuation.sent, g_strdup (c->id), sent);
 }
 
 void
-soak_ask (Soak *s)
+soak_send_request (Soak *s)
 {
-  static const char *const lines[ASK_KINDS] = { "GET /all/q", "GET /one/q", "POST /order/q" };
-  Caller *c = S_caller (s, soak_pick (s, RELAYS));
+  static const char *const lines[REQUEST_KIND_COUNT] = { "GET /all/q", "GET /one/q",
+                                                         "POST /order/q" };
+  Caller *c = S_acquire_caller (s, soak_random_below (s, RELAYS));
   if (!c)
     return;
-  c->kind = (AskKind) soak_pick (s, ASK_KINDS);
+  c->kind = (RequestKind) soak_random_below (s, REQUEST_KIND_COUNT);
   c->crasher = FALSE;
   S_send (c, lines[c->kind]);
-  S_note_evacuation (c);
+  S_track_evacuation (c);
 }
 
 void
-soak_ask_crasher (Soak *s)
+soak_send_crashing_request (Soak *s)
 {
-  Caller *c = S_caller (s, (guint) g_rand_int_range (s->crasher.random, 0, RELAYS));
+  Caller *c = S_acquire_caller (s, (guint) g_rand_int_range (s->crasher.random, 0, RELAYS));
   if (!c)
     return;
-  c->kind = ASK_ALL;
+  c->kind = REQUEST_MERGED;
   c->crasher = TRUE;
   S_send (c, "GET /all/crash");
-  if (s->crasher.third_end != 0 && s->now > s->crasher.third_end + SETTLE &&
-      (S_left_alone (c) || soak_store_tells (s)))
-    g_hash_table_add (s->crasher.late, g_strdup (c->id));
+  if (s->crasher.third_crash != 0 && s->now > s->crasher.third_crash + SETTLE &&
+      (S_relay_undisturbed (c) || soak_store_has_quarantine (s)))
+    g_hash_table_add (s->crasher.late_ids, g_strdup (c->id));
 }
 
 void
-soak_caller_overdue (MrTimer *timer)
+soak_on_caller_timeout (MrTimer *timer)
 {
   Caller *c = timer->owner;
-  S_end_unanswered (c, "no answer");
+  S_check_unanswered (c, "no response");
   mr_stream_close (c->stream);
   S_caller_free (c);
 }
--- a/test/soak/soak_faults.c
+++ b/test/soak/soak_faults.c
@@ -8,123 +8,125 @@
                                               "reset", "extra", "slow", "error", "silent" };
 static const char *const store_modes[] = { "down", "silent", "gone" };
 
-/* Relays that a fault on their way to the store, or on their targets, touches
- * must still answer; only signals excuse them. */
+/* Sends signal @number to a relay and schedules its recovery.  Only signals excuse failures
+ * of a relay; faults of the store, of targets or of the paths to them do not. */
 static void
-S_signal_relay (Soak *s, guint index, int number, MrTime back)
+S_signal_relay (Soak *s, guint index, int number, MrTime duration)
 {
   Child *relay = &s->relays[index];
-  if (relay->back_at != 0)
+  if (relay->recovers_at != 0)
     return;
-  soak_say (s, "relay %u gets signal %d for %.1f s", index, number, (double) back / 1e6);
+  soak_log (s, "relay %u gets signal %d for %.1f s", index, number, (double) duration / 1e6);
   kill (relay->pid, number);
-  relay->disturbed = mr_now ();
-  relay->back_at = mr_now () + back;
+  relay->last_disturbed = mr_now ();
+  relay->recovers_at = mr_now () + duration;
   relay->stopped = number == SIGSTOP;
 }
 
 static void
-S_signal_searcher (Soak *s, guint index, int number, MrTime back)
+S_signal_searcher (Soak *s, guint index, int number, MrTime duration)
 {
   Child *searcher = &s->searchers[index];
-  if (searcher->back_at != 0)
+  if (searcher->recovers_at != 0)
     return;
-  soak_say (s, "searcher %u gets signal %d for %.1f s", index, number, (double) back / 1e6);
+  soak_log (s, "searcher %u gets signal %d for %.1f s", index, number, (double) duration / 1e6);
   kill (searcher->pid, number);
-  searcher->back_at = mr_now () + back;
+  searcher->recovers_at = mr_now () + duration;
   searcher->stopped = number == SIGSTOP;
   if (searcher->stopped)
     return;
   soak_proxy_set_open (s->searcher_proxies[index], FALSE);
-  soak_withdraw (s, index);
+  soak_unregister_searcher (s, index);
 }
 
 void
-soak_note_store (Soak *s)
+soak_track_store_faults (Soak *s)
 {
-  gboolean disturbed = s->store_back != 0;
+  gboolean disturbed = s->store_recovers_at != 0;
   if (disturbed)
     s->evacuation.store_disturbed = s->now;
   for (guint i = 0; i < RELAYS; i++)
     {
-      disturbed |= s->proxies_back[i] != 0;
-      if (s->proxies_back[i] != 0)
-        s->evacuation.path_disturbed[i] = s->now;
+      disturbed |= s->proxies_recover_at[i] != 0;
+      if (s->proxies_recover_at[i] != 0)
+        s->evacuation.path_last_disturbed[i] = s->now;
     }
   if (disturbed)
     s->loss.store_disturbed = s->now;
 }
 
 gboolean
-soak_store_tells (const Soak *s)
+soak_store_has_quarantine (const Soak *s)
 {
-  return s->loss.saved && s->loss.store_disturbed < s->loss.last;
+  return s->loss.quarantine_stored && s->loss.store_disturbed < s->loss.killed_at;
 }
 
 void
-soak_lose_all (Soak *s)
+soak_kill_all_relays (Soak *s)
 {
-  g_autofree char *held = soak_fetch (soak_first_port + STORE_PORT, "/objects/quarantine");
-  s->loss.last = s->now;
-  s->loss.saved = strstr (held, "\"quarantined\"") != NULL;
-  soak_say (s, "all relays are killed; the store %s what ends searchers",
-            s->loss.saved ? "knows" : "does not know");
+  g_autofree char *quarantine = soak_http_get (soak_first_port + STORE_PORT, "/objects/quarantine");
+  s->loss.killed_at = s->now;
+  s->loss.quarantine_stored = strstr (quarantine, "\"quarantined\"") != NULL;
+  soak_log (s, "all relays are killed; the quarantine is %s",
+            s->loss.quarantine_stored ? "in the store" : "not in the store");
   for (guint i = 0; i < RELAYS; i++)
     {
       Child *relay = &s->relays[i];
-      MrTime back = (MrTime) (g_rand_double_range (s->loss.random, 0.05, 1) * (double) MR_SECOND);
+      MrTime duration =
+          (MrTime) (g_rand_double_range (s->loss.random, 0.05, 1) * (double) MR_SECOND);
       kill (relay->pid, SIGKILL);
-      relay->disturbed = s->now;
-      relay->back_at = s->now + back;
+      relay->last_disturbed = s->now;
+      relay->recovers_at = s->now + duration;
       relay->stopped = FALSE;
     }
 }
 
 void
-soak_note_ends (Soak *s)
+soak_reap_searchers (Soak *s)
 {
   for (guint i = 0; i < SEARCHERS; i++)
     {
       Child *searcher = &s->searchers[i];
-      if (searcher->back_at != 0)
+      if (searcher->recovers_at != 0)
         continue;
       if (waitpid (searcher->pid, NULL, WNOHANG) != searcher->pid)
         {
           soak_proxy_reopen (s->searcher_proxies[i]);
           continue;
         }
-      soak_say (s, "searcher %u has ended", i);
+      soak_log (s, "searcher %u crashed", i);
       soak_proxy_set_open (s->searcher_proxies[i], FALSE);
-      soak_withdraw (s, i);
-      searcher->back_at =
+      soak_unregister_searcher (s, i);
+      searcher->recovers_at =
           s->now + (MrTime) (g_rand_double_range (s->crasher.random, 0.5, 2) * (double) MR_SECOND);
-      if (++s->crasher.ended == 3)
-        s->crasher.third_end = s->now;
+      if (++s->crasher.crashes == 3)
+        s->crasher.third_crash = s->now;
     }
 }
 
-/* What was sent last may have been held up, or be repeated, until the domain is used again. */
-static const MrTime EVACUATED_LAST = 2 * MR_SECOND;
+/* Requests sent this shortly before the end of an evacuation may be delayed or resent until the
+ * domain is in use again, so they are not checked. */
+static const MrTime EVACUATION_END_MARGIN = 2 * MR_SECOND;
 
 static gboolean
-S_is_too_late (gpointer id, gpointer sent, gpointer user)
+S_was_sent_near_end (gpointer id, gpointer sent, gpointer user)
 {
   const Soak *s = user;
   (void) id;
-  return ((const SoakEvacuated *) sent)->at > s->now - EVACUATED_LAST;
+  return ((const SoakEvacuatedRequest *) sent)->sent_at > s->now - EVACUATION_END_MARGIN;
 }
 
 void
-soak_evacuate (Soak *s, gboolean begins)
+soak_set_evacuation (Soak *s, gboolean begins)
 {
   Evacuation *e = &s->evacuation;
   if (begins)
     e->domain = (guint) g_rand_int_range (e->random, 0, RELAYS);
   else
-    g_hash_table_foreach_remove (e->sent, S_is_too_late, s);
+    g_hash_table_foreach_remove (e->sent, S_was_sent_near_end, s);
   g_autofree char *path = g_strdup_printf ("/objects/evacuations/z%u", e->domain);
-  soak_tell (soak_first_port + STORE_PORT, begins ? "PUT" : "DELETE", path, "{}");
-  soak_say (s, "z%u is %s", e->domain, begins ? "evacuated" : "used again");
+  soak_http_send (soak_first_port + STORE_PORT, begins ? "PUT" : "DELETE", path, "{}");
+  soak_log (s, "z%u is %s", e->domain, begins ? "evacuated" : "in use again");
   e->since = begins ? s->now : 0;
   double least = begins ? 3 : 0.2;
   double most = begins ? 9 : 4;
@@ -132,126 +134,130 @@
 }
 
 static void
-S_disturb_proxy (Soak *s, guint index)
+S_inject_proxy_fault (Soak *s, guint index)
 {
   SoakProxy *proxy = index < RELAYS ? s->store_proxies[index] : s->searcher_proxies[index - RELAYS];
-  guint what = soak_pick (s, PROXY_MODES + 1);
+  guint fault = soak_random_below (s, PROXY_MODE_COUNT + 1);
   if (index < RELAYS)
     {
       s->loss.store_disturbed = s->now;
-      s->evacuation.path_disturbed[index] = s->now;
+      s->evacuation.path_last_disturbed[index] = s->now;
     }
-  soak_say (s, "proxy %u: fault %u", index, what);
-  if (what == 0)
-    soak_proxy_reset (proxy);
-  else if (what == PROXY_MODES)
-    soak_proxy_lose (proxy);
+  soak_log (s, "proxy %u: fault %u", index, fault);
+  if (fault == 0)
+    soak_proxy_reset_connections (proxy);
+  else if (fault == PROXY_MODE_COUNT)
+    soak_proxy_silence_connections (proxy);
   else
     {
-      soak_proxy_set_mode (proxy, (SoakProxyMode) what);
-      s->proxies_back[index] = mr_now () + soak_between (s, 300, 4000);
+      soak_proxy_set_mode (proxy, (SoakProxyMode) fault);
+      s->proxies_recover_at[index] = mr_now () + soak_random_time (s, 300, 4000);
     }
 }
 
 static void
-S_set_store (Soak *s)
+S_set_store_mode (Soak *s)
 {
-  const char *mode = store_modes[soak_pick (s, G_N_ELEMENTS (store_modes))];
+  const char *mode = store_modes[soak_random_below (s, G_N_ELEMENTS (store_modes))];
   g_autofree char *path = g_strdup_printf ("/mode/%s", mode);
-  soak_say (s, "store is %s", mode);
-  soak_tell (soak_first_port + STORE_PORT, "PUT", path, "");
-  s->store_back = mr_now () + soak_between (s, 500, 4000);
+  soak_log (s, "store: mode %s", mode);
+  soak_http_send (soak_first_port + STORE_PORT, "PUT", path, "");
+  s->store_recovers_at = mr_now () + soak_random_time (s, 500, 4000);
 }
 
 static void
-S_set_searcher (Soak *s, guint index, const char *mode)
+S_set_searcher_mode (Soak *s, guint index, const char *mode)
 {
   g_autofree char *path = g_strdup_printf ("/mode/%s", mode);
-  if (s->searchers[index].back_at != 0)
+  if (s->searchers[index].recovers_at != 0)
     return;
-  soak_say (s, "searcher %u: %s", index, path);
-  soak_tell (soak_first_port + SEARCHER_PORT + (int) index, "PUT", path, "");
+  soak_log (s, "searcher %u: %s", index, path);
+  soak_http_send (soak_first_port + SEARCHER_PORT + (int) index, "PUT", path, "");
 }
 
-/* The time of day jumps and stays there until it jumps again. */
+/* Steps the wall clock of a relay; the offset stays until the next step. */
 static void
 S_step_clock (Soak *s, guint index)
 {
-  if (!s->clocks[index])
+  if (!s->clock_offsets[index])
     return;
-  *s->clocks[index] = soak_between (s, -20000, 20000);
-  soak_say (s, "relay %u: time of day is off by %.1f s", index, (double) *s->clocks[index] / 1e6);
+  *s->clock_offsets[index] = soak_random_time (s, -20000, 20000);
+  soak_log (s, "relay %u: wall clock offset %.1f s", index,
+            (double) *s->clock_offsets[index] / 1e6);
 }
 
 void
-soak_disturb (Soak *s)
+soak_inject_fault (Soak *s)
 {
-  if (s->only)
+  if (s->only_mode)
     {
       for (guint i = 0; i < SEARCHERS; i++)
-        S_set_searcher (s, i, s->only);
+        S_set_searcher_mode (s, i, s->only_mode);
       return;
     }
-  switch (soak_pick (s, 11))
+  switch (soak_random_below (s, 11))
     {
     case 0:
-      S_signal_relay (s, soak_pick (s, RELAYS), SIGTERM, soak_between (s, 3200, 4500));
+      S_signal_relay (s, soak_random_below (s, RELAYS), SIGTERM, soak_random_time (s, 3200, 4500));
       break;
     case 1:
-      S_signal_relay (s, soak_pick (s, RELAYS), SIGKILL, soak_between (s, 100, 2000));
+      S_signal_relay (s, soak_random_below (s, RELAYS), SIGKILL, soak_random_time (s, 100, 2000));
       break;
     case 2:
-      S_signal_relay (s, soak_pick (s, RELAYS), SIGSTOP, soak_between (s, 200, 3000));
+      S_signal_relay (s, soak_random_below (s, RELAYS), SIGSTOP, soak_random_time (s, 200, 3000));
       break;
     case 3:
-      S_signal_searcher (s, soak_pick (s, SEARCHERS), SIGKILL, soak_between (s, 100, 3000));
+      S_signal_searcher (s, soak_random_below (s, SEARCHERS), SIGKILL,
+                         soak_random_time (s, 100, 3000));
       break;
     case 4:
-      S_signal_searcher (s, soak_pick (s, SEARCHERS), SIGSTOP, soak_between (s, 200, 3000));
+      S_signal_searcher (s, soak_random_below (s, SEARCHERS), SIGSTOP,
+                         soak_random_time (s, 200, 3000));
       break;
     case 5:
-      S_set_store (s);
+      S_set_store_mode (s);
       break;
     case 6:
-      soak_configure (s);
-      soak_say (s, "version %u, %s", s->version, s->wide ? "three services" : "two services");
+      soak_publish_configuration (s);
+      soak_log (s, "version %u, %s", s->version,
+                s->three_services ? "three services" : "two services");
       break;
     case 7:
-      S_set_searcher (s, soak_pick (s, SEARCHERS),
-                      searcher_modes[soak_pick (s, G_N_ELEMENTS (searcher_modes))]);
+      S_set_searcher_mode (s, soak_random_below (s, SEARCHERS),
+                           searcher_modes[soak_random_below (s, G_N_ELEMENTS (searcher_modes))]);
       break;
     case 8:
-      S_step_clock (s, soak_pick (s, RELAYS));
+      S_step_clock (s, soak_random_below (s, RELAYS));
       break;
     default:
-      S_disturb_proxy (s, soak_pick (s, RELAYS + SEARCHERS));
+      S_inject_proxy_fault (s, soak_random_below (s, RELAYS + SEARCHERS));
       break;
     }
 }
 
 void
-soak_restore (Soak *s, gboolean all)
+soak_end_faults (Soak *s, gboolean all)
 {
   for (guint i = 0; i < RELAYS + SEARCHERS; i++)
     {
-      if (s->proxies_back[i] == 0 || (!all && s->now < s->proxies_back[i]))
+      if (s->proxies_recover_at[i] == 0 || (!all && s->now < s->proxies_recover_at[i]))
         continue;
       soak_proxy_set_mode (i < RELAYS ? s->store_proxies[i] : s->searcher_proxies[i - RELAYS],
                            PROXY_OK);
-      s->proxies_back[i] = 0;
+      s->proxies_recover_at[i] = 0;
     }
-  if (s->store_back != 0 && (all || s->now >= s->store_back))
+  if (s->store_recovers_at != 0 && (all || s->now >= s->store_recovers_at))
     {
-      soak_tell (soak_first_port + STORE_PORT, "PUT", "/mode/ok", "");
-      s->store_back = 0;
+      soak_http_send (soak_first_port + STORE_PORT, "PUT", "/mode/ok", "");
+      s->store_recovers_at = 0;
     }
   for (guint i = 0; i < RELAYS + SEARCHERS; i++)
     {
       Child *child = i < RELAYS ? &s->relays[i] : &s->searchers[i - RELAYS];
-      if (child->back_at == 0 || (!all && s->now < child->back_at))
+      if (child->recovers_at == 0 || (!all && s->now < child->recovers_at))
         continue;
-      child->back_at = 0;
-      child->disturbed = s->now;
+      child->recovers_at = 0;
+      child->last_disturbed = s->now;
       if (child->stopped)
         {
           kill (child->pid, SIGCONT);
--- a/test/soak/soak_processes.c
+++ b/test/soak/soak_processes.c
@@ -11,11 +11,11 @@
 static pid_t
 S_spawn (const Soak *s, const char *log, char *const *argv)
 {
-  g_autofree char *path = g_build_filename (s->folder, log, NULL);
+  g_autofree char *path = g_build_filename (s->directory, log, NULL);
   pid_t pid = fork ();
   if (pid != 0)
     return pid;
-  prctl (PR_SET_PDEATHSIG, SIGKILL); /* nothing is left behind if the soak is ended */
+  prctl (PR_SET_PDEATHSIG, SIGKILL); /* children end with the soak */
   int fd = open (path, O_WRONLY | O_CREAT | O_APPEND, 0600);
   dup2 (fd, STDOUT_FILENO);
   dup2 (fd, STDERR_FILENO);
@@ -31,11 +31,11 @@
   g_autofree char *number = g_strdup_printf ("%d", port);
   char *argv[] = { program, (char *) role, number, (char *) id, NULL };
   child->pid = S_spawn (s, log, argv);
-  child->disturbed = mr_now ();
+  child->last_disturbed = mr_now ();
 }
 
 void
-soak_tell (int port, const char *method, const char *path, const char *body)
+soak_http_send (int port, const char *method, const char *path, const char *body)
 {
   g_autofree char *url = g_strdup_printf ("http://127.0.0.1:%d%s", port, path);
   char *argv[] = { "/usr/bin/curl",
@@ -67,16 +67,16 @@
 }
 
 char *
-soak_fetch (int port, const char *path)
+soak_http_get (int port, const char *path)
 {
   g_autofree char *command =
       g_strdup_printf ("curl -sS --max-time 2 http://127.0.0.1:%d%s", port, path);
-  char *answer = NULL;
-  g_spawn_command_line_sync (command, &answer, NULL, NULL, NULL);
-  return answer ? answer : g_strdup ("");
+  char *body = NULL;
+  g_spawn_command_line_sync (command, &body, NULL, NULL, NULL);
+  return body ? body : g_strdup ("");
 }
 
-/* Every second one keeps its id when it starts again. */
+/* Searchers with an even index keep their id after a restart. */
 static void
 S_searcher_id (const Soak *s, guint index, char *id)
 {
@@ -85,7 +85,7 @@
 }
 
 static void
-S_announce (Soak *s, guint index, const char *state)
+S_register_searcher (Soak *s, guint index, const char *state)
 {
   char id[ID_BYTES];
   S_searcher_id (s, index, id);
@@ -96,16 +96,16 @@
       "\"born\":%" G_GINT64_FORMAT "}",
       'a' + (int) (index / 2), soak_first_port + SEARCHER_PROXY + (int) index, index % RELAYS,
       state, s->searchers[index].started_ms);
-  soak_tell (soak_first_port + STORE_PORT, state ? "PUT" : "DELETE", path, body);
+  soak_http_send (soak_first_port + STORE_PORT, state ? "PUT" : "DELETE", path, body);
 }
 
 void
-soak_withdraw (Soak *s, guint index)
+soak_unregister_searcher (Soak *s, guint index)
 {
   char id[ID_BYTES];
   S_searcher_id (s, index, id);
   g_autofree char *path = g_strdup_printf ("/objects/servers/%s", id);
-  soak_tell (soak_first_port + STORE_PORT, "DELETE", path, "");
+  soak_http_send (soak_first_port + STORE_PORT, "DELETE", path, "");
 }
 
 void
@@ -119,26 +119,26 @@
   soak_proxy_set_open (s->searcher_proxies[index], TRUE);
   soak_start_standin (s, &s->searchers[index], "searcher",
                       soak_first_port + SEARCHER_PORT + (int) index, id, log);
-  S_announce (s, index, "ready");
+  S_register_searcher (s, index, "ready");
 }
 
-/* The relay's time of day is read through test/soak/clock.c, which adds what
- * stands in a file; sanitized builds have no such library. */
+/* Preloads test/soak/clock.c into the relay, which shifts the wall clock by the offset in a
+ * file.  Sanitizer builds do not have this library. */
 static void
-S_set_clock (Soak *s, guint index)
+S_preload_clock (Soak *s, guint index)
 {
   g_autofree char *library = g_build_filename (s->build, "test", "libsoak_clock.so", NULL);
-  g_autofree char *path = g_strdup_printf ("%s/clock%u", s->folder, index);
+  g_autofree char *path = g_strdup_printf ("%s/clock%u", s->directory, index);
   if (!g_file_test (library, G_FILE_TEST_EXISTS))
     return;
-  if (!s->clocks[index])
+  if (!s->clock_offsets[index])
     {
-      const gint64 none = 0;
-      g_file_set_contents (path, (const char *) &none, sizeof none, NULL);
+      const gint64 zero_offset = 0;
+      g_file_set_contents (path, (const char *) &zero_offset, sizeof zero_offset, NULL);
       int fd = open (path, O_RDWR);
-      void *at = mmap (NULL, sizeof none, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+      void *mapping = mmap (NULL, sizeof zero_offset, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
       close (fd);
-      s->clocks[index] = at == MAP_FAILED ? NULL : at;
+      s->clock_offsets[index] = mapping == MAP_FAILED ? NULL : mapping;
     }
   setenv ("SOAK_CLOCK", path, 1);
   setenv ("LD_PRELOAD", library, 1);
@@ -147,10 +147,11 @@
 void
 soak_start_relay (Soak *s, guint index)
 {
-  const char *name = getenv ("SOAK_RELAY"); /* another build, whose safeguards are off */
+  const char *name =
+      getenv ("SOAK_RELAY"); /* another build, whose safeguards can be switched off */
   g_autofree char *program = g_build_filename (s->build, name ? name : "merlinring-relay", NULL);
   g_autofree char *log = g_strdup_printf ("relay%u.log", index);
-  g_autofree char *settings = g_strdup_printf ("%s/relay%u.json", s->folder, index);
+  g_autofree char *settings = g_strdup_printf ("%s/relay%u.json", s->directory, index);
   int base = soak_first_port + RELAY_PORT + 10 * (int) index;
   g_autofree char *text = g_strdup_printf (
       "{\"node_name\":\"r%u\",\"ip\":\"127.0.0.1\",\"zone\":\"z%u\",\"region\":\"reg\","
@@ -162,18 +163,18 @@
       index, index, soak_first_port + RELAY_PORT + 3, soak_first_port + RELAY_PORT + 13, base,
       base + 1, base + 2, base + 3, soak_first_port + STORE_PROXY + (int) index);
   g_file_set_contents (settings, text, -1, NULL);
-  S_set_clock (s, index);
+  S_preload_clock (s, index);
   setenv ("MERLINRING_CONFIG", settings, 1);
   char *argv[] = { program, NULL };
   s->relays[index].pid = S_spawn (s, log, argv);
   unsetenv ("LD_PRELOAD");
-  s->relays[index].disturbed = mr_now ();
+  s->relays[index].last_disturbed = mr_now ();
 }
 
 void
-soak_configure (Soak *s)
+soak_publish_configuration (Soak *s)
 {
-  s->wide = soak_pick (s, 2) == 0;
+  s->three_services = soak_random_below (s, 2) == 0;
   s->version++;
   g_autofree char *body = g_strdup_printf (
       "{\"version\":%u,\"routes\":["
@@ -188,6 +189,6 @@
       "{\"name\":\"b\",\"max_conns\":40},{\"name\":\"c\",\"max_conns\":40}],\"limits\":{"
       "\"max_header_bytes\":4096,\"max_body_bytes\":4096,\"header_timeout_ms\":1000,"
       "\"idle_timeout_ms\":15000}}",
-      s->version, s->wide ? "\"a\",\"b\",\"c\"" : "\"a\",\"b\"", TOP);
-  soak_tell (soak_first_port + STORE_PORT, "PUT", "/objects/config/main", body);
+      s->version, s->three_services ? "\"a\",\"b\",\"c\"" : "\"a\",\"b\"", TOP_K);
+  soak_http_send (soak_first_port + STORE_PORT, "PUT", "/objects/config/main", body);
 }
