--- a/demo/catalogue.c
+++ b/demo/catalogue.c
@@ -35,7 +35,7 @@
 }
 
 static Record *
-S_record (guint number, GRand *random)
+S_generate_record (guint number, GRand *random)
 {
   const char *farm = PICK (random, farms);
   const char *kind = PICK (random, kinds);
@@ -62,7 +62,7 @@
   for (guint i = 0; i < shards; i++)
     catalogue->records[i] = g_ptr_array_new_with_free_func (S_record_free);
   for (guint i = 0; i < records; i++)
-    g_ptr_array_add (catalogue->records[i % shards], S_record (i, random));
+    g_ptr_array_add (catalogue->records[i % shards], S_generate_record (i, random));
   g_rand_free (random);
   return catalogue;
 }
@@ -77,7 +77,7 @@
 }
 
 static guint
-S_matches (const Record *record, char **words)
+S_count_matches (const Record *record, char **words)
 {
   guint count = 0;
   for (; *words; words++)
@@ -85,7 +85,8 @@
   return count;
 }
 
-/* Score: words found, then a fixed spread by number so that ties are rare. */
+/* Score: the number of matching words, plus a fraction derived from the record number
+ * that makes ties rare. */
 static double
 S_score (guint matches, guint number)
 {
@@ -105,18 +106,18 @@
   for (guint i = 0; i < records->len; i++)
     {
       const Record *record = g_ptr_array_index (records, i);
-      guint matches = S_matches (record, words);
+      guint matches = S_count_matches (record, words);
       double score = S_score (matches, record->number);
       if (matches == 0)
         continue;
-      guint place = count;
-      for (; place > 0 && score > scores[place - 1]; place--)
+      guint position = count;
+      for (; position > 0 && score > scores[position - 1]; position--)
         {
-          scores[place] = scores[place - 1];
-          best[place] = best[place - 1];
+          scores[position] = scores[position - 1];
+          best[position] = best[position - 1];
         }
-      scores[place] = score;
-      best[place] = record;
+      scores[position] = score;
+      best[position] = record;
       count = MIN (count + 1, k);
     }
   g_string_append_c (out, '[');
@@ -127,7 +128,7 @@
 }
 
 guint
-mr_catalogue_weight (const MrCatalogue *catalogue, guint shard)
+mr_catalogue_record_count (const MrCatalogue *catalogue, guint shard)
 {
   return catalogue->records[shard]->len;
 }
--- a/demo/helpers.sh
+++ b/demo/helpers.sh
@@ -1,5 +1,5 @@
-# Helpers of all scripts that run processes on loopback.
-# Needs: LOGS, a folder; LOG_GLOB, which of its logs a failure shows.
+# Helpers for all scripts that run processes on loopback.
+# Requires LOGS, a directory, and LOG_GLOB, the logs in it that fail prints.
 
 declare -A PIDS
 
@@ -9,26 +9,26 @@
   printf 'FAILED: %s\n' "$*" >&2
   # shellcheck disable=SC2086
   tail -n 5 "$LOGS"/$LOG_GLOB >&2
-  [ ! -s "$LOGS/stall" ] || printf 'this script stood still for up to %s ms\n' "$(cat "$LOGS/stall")" >&2
+  [ ! -s "$LOGS/stall" ] || printf 'this script was stalled for up to %s ms\n' "$(cat "$LOGS/stall")" >&2
   exit 1
 }
 
-# Notes in LOGS/stall the longest time, in ms, that the machine gave a process of this script
-# no time: its daemons may have stood still as well.
+# Writes to LOGS/stall the longest time in ms for which a process of this script was not
+# scheduled.  The daemons may have been stalled as well.
 watch_stalls() {
-  local at now late most=0
+  local at now delay longest=0
   while :; do
     at=${EPOCHREALTIME/[.,]/}
     sleep 0.1
     now=${EPOCHREALTIME/[.,]/}
-    late=$(((now - at) / 1000 - 100))
-    [ "$late" -le "$most" ] && continue
-    most=$late
-    printf '%d' "$most" >"$LOGS/stall"
+    delay=$(((now - at) / 1000 - 100))
+    [ "$delay" -le "$longest" ] && continue
+    longest=$delay
+    printf '%d' "$longest" >"$LOGS/stall"
   done
 }
 
-# start NAME COMMAND...: runs it in the background, its log in LOGS.
+# start NAME COMMAND...: runs COMMAND in the background, with its log in LOGS.
 start() {
   local name=$1
   shift
@@ -36,7 +36,7 @@
   PIDS[$name]=$!
 }
 
-# stop NAME SIGNAL: and waits for its end; its exit code is returned.
+# stop NAME SIGNAL: sends SIGNAL, waits for the process and returns its exit code.
 stop() {
   kill "-$2" "${PIDS[$1]}" 2>/dev/null
   wait "${PIDS[$1]}" 2>/dev/null
@@ -52,7 +52,7 @@
   rm -rf "$LOGS"
 }
 
-# until_true SECONDS COMMAND...: polls; fails after the time.
+# until_true SECONDS COMMAND...: repeats COMMAND until it succeeds; fails after SECONDS.
 until_true() {
   local end=$((SECONDS + $1))
   shift
--- a/demo/lib.sh
+++ b/demo/lib.sh
@@ -1,5 +1,5 @@
-# Helpers of the demo, soak and slopes scripts: a small system on loopback.
-# Needs: BUILD, the build folder.
+# Helpers for the demo, soak, slopes and process test scripts: a small system on loopback.
+# Requires BUILD, the build directory.
 
 PLATFORM=127.0.0.1:17000
 HTTP_BASE=17100
@@ -23,8 +23,8 @@
     --data-binary "{\"ip\":\"127.0.0.1\",\"port\":$2,\"role\":\"$3\",\"state\":\"$4\"}" >/dev/null
 }
 
-# shard_map PREFIX PORT TARGETS SLOTS CONNECTIONS LONELY: two replicas a shard,
-# but for the shard LONELY, which the last target alone serves.
+# shard_map PREFIX PORT TARGETS SLOTS CONNECTIONS SINGLE: two replicas of each shard, except
+# for shard number SINGLE, which only the last target serves (-1: none).
 shard_map() {
   local i out='{"snapshot":"s1","targets":['
   for ((i = 0; i < $3; i++)); do
@@ -47,7 +47,7 @@
     ${CRASH_ON:+--crash-on "$CRASH_ON"}
 }
 
-DAEMON=merlinringd # or the build whose safeguards tests switch off
+DAEMON=merlinringd # or the build whose safeguards tests can switch off
 
 start_daemon() { # NUMBER DOMAIN
   start "d$1" "$BUILD/$DAEMON" --name "d$1" --ip 127.0.0.1 --domain "domain-$2" \
@@ -57,7 +57,7 @@
 
 daemon_ready() { http -f "http://127.0.0.1:$((HTTP_BASE + $1))/v1/ready"; }
 
-# An order as JSON: DAEMON TICKET DEADLINE_MS
+# Sends an order and prints the JSON response: DAEMON TICKET DEADLINE_MS
 order() {
   http -X POST --data-binary '{"record":"r17"}' \
     "http://127.0.0.1:$((HTTP_BASE + $1))/v1/services/shop-search/orders?ticket=$2&deadline_ms=$3"
@@ -68,11 +68,11 @@
     sed 's/.*"ticket":"\([^"]*\)".*/\1/'
 }
 
-# Sets faults or state of a shop searcher: NUMBER SETTINGS
+# Sets faults or the state of a shop searcher: NUMBER SETTINGS
 control() { http -X PUT "http://127.0.0.1:$((SHOP_PORT + $1))/control?$2" >/dev/null; }
 control_all() { for i in 0 1 2; do control $i "$1"; done; }
 
-# Orders that ran, and tickets that ran more than once, over all shop searchers.
+# Prints the number of orders that ran on all shop searchers together.
 orders_run() {
   local i sum=0
   for i in 0 1 2; do
@@ -86,14 +86,14 @@
 has() { case "$1" in *"$2"*) return 0 ;; esac; return 1; }
 expect() { has "$1" "$2" || fail "$3: expected $2, got $1"; }
 
-# One search as JSON on one line: DAEMON SERVICE QUERY
+# Prints a search response as one line of JSON: DAEMON SERVICE QUERY
 search() {
   http "http://127.0.0.1:$((HTTP_BASE + $1))/v1/services/$2/search?q=${3// /%20}&deadline_ms=500"
 }
 
 search_complete() { search "$@" | grep -q '"complete":true'; }
 
-# DAEMON COUNT: that many members are alive in its view.
+# DAEMON COUNT: true if DAEMON lists COUNT members as alive.
 sees_members() {
   [ "$(http "http://127.0.0.1:$((HTTP_BASE + $1))/v1/members" | grep -o '"state":"alive"' | wc -l)" = "$2" ]
 }
--- a/demo/load.c
+++ b/demo/load.c
@@ -1,8 +1,8 @@
-/* Load and experiment tool: callers that ask the system which address to use,
- * keep the answer as long as it says, and connect there themselves.
+/* Load generator.  It acts as callers that request a list of addresses, use it for its
+ * time to live and connect to these addresses directly.
  *
- * Sends at a fixed rate (open loop), so that a slow system can't slow the load
- * down.  Bounded: --rate times --seconds requests, then it ends by itself. */
+ * Requests are sent at a fixed rate (open loop), so that a slow system does not reduce
+ * the load.  It exits after --rate times --seconds requests. */
 
 #include "batch.h"
 #include "histogram.h"
@@ -15,17 +15,17 @@
 
 enum
 {
-  LANES = 512,
+  SLOTS = 512,
   DESCRIPTORS = 4096,
   RATE_MAX = 20000,
   SECONDS_MAX = 600,
   ADDRESSES_MAX = 16,
 };
 
-/* No address at all for this long: the system is not there. */
-static const MrTime ADDRESS_WAIT = 5 * MR_SECOND;
-/* A caller that gets no answer at all gives up this long after its deadline. */
-static const MrTime GRACE = 3 * MR_SECOND;
+/* Gives up if no address is received within this time. */
+static const MrTime ADDRESS_TIMEOUT = 5 * MR_SECOND;
+/* A request without a response is aborted this long after its deadline. */
+static const MrTime RESPONSE_GRACE = 3 * MR_SECOND;
 
 typedef struct
 {
@@ -39,9 +39,9 @@
 {
   Load *load;
   MrHttpCall *call;
-  MrTime due; /* when the rate wanted it sent */
-  MrTime give_up_at;
-  guint lane;
+  MrTime due; /* scheduled time; latency is measured from here */
+  MrTime abort_at;
+  guint slot;
   gboolean order;
 } Request;
 
@@ -50,21 +50,21 @@
   MrLoopHandler host;
   MrLoop *loop;
   MrHttpClient *client;
-  Request *lanes[LANES];
+  Request *slots[SLOTS];
   Address addresses[ADDRESSES_MAX];
   guint address_count;
   guint next_address;
   MrTime refresh_at;
   gboolean refreshing;
-  MrTime begun;
-  MrTime started; /* of the load itself; 0 until an address is known */
+  MrTime started_at;
+  MrTime load_started_at; /* 0 until an address is known */
   guint64 sent;
   guint64 ended;
   guint64 complete;
   guint64 partial;
   guint64 refused;
-  guint64 failed;  /* no answer, or one that is none of the above */
-  guint64 skipped; /* no lane free: the load itself was too slow */
+  guint64 failed;  /* no response, or one of another kind */
+  guint64 skipped; /* not sent, as no slot was free */
   double coverage;
   MrHistogram latency;
 };
@@ -90,10 +90,10 @@
 };
 
 static void
-S_count (Load *load, const MrHttpResponse *answer)
+S_count_response (Load *load, const MrHttpResponse *response)
 {
-  json_t *root = answer->outcome == MR_HTTP_OK
-                     ? json_loadb (answer->body.data, answer->body.len, 0, NULL)
+  json_t *root = response->outcome == MR_HTTP_OK
+                     ? json_loadb (response->body.data, response->body.len, 0, NULL)
                      : NULL;
   json_int_t result = json_integer_value (json_object_get (root, "result"));
   const json_t *coverage = json_object_get (root, "coverage");
@@ -110,14 +110,14 @@
 }
 
 static void
-S_end (Request *request, const MrHttpResponse *answer)
+S_finish_request (Request *request, const MrHttpResponse *response)
 {
   Load *load = request->load;
   MrTime latency = mr_now () - request->due;
-  load->lanes[request->lane] = NULL;
+  load->slots[request->slot] = NULL;
   load->ended++;
-  if (answer)
-    S_count (load, answer);
+  if (response)
+    S_count_response (load, response);
   else
     load->failed++;
   mr_histogram_add (&load->latency, latency);
@@ -125,14 +125,14 @@
 }
 
 static gboolean
-S_done (void *user, const MrHttpResponse *answer)
+S_on_response (void *user, const MrHttpResponse *response)
 {
-  S_end (user, answer);
+  S_finish_request (user, response);
   return TRUE;
 }
 
 static void
-S_send (Load *load, MrTime due, guint lane)
+S_send (Load *load, MrTime due, guint slot)
 {
   const Address *address = &load->addresses[load->next_address++ % load->address_count];
   g_autofree char *query = g_uri_escape_string (opt.query, NULL, FALSE);
@@ -142,45 +142,45 @@
   *request = (Request){
     .load = load,
     .due = due,
-    .lane = lane,
-    .give_up_at = due + opt.deadline_ms * MR_MS + GRACE,
+    .slot = slot,
+    .abort_at = due + opt.deadline_ms * MR_MS + RESPONSE_GRACE,
   };
   MrHttpCallInfo info = {
     .method = "GET",
     .ip = address->ip,
     .port = address->port,
-    .connection_slot = lane,
+    .connection_slot = slot,
     .path = path,
-    .on_response = S_done,
+    .on_response = S_on_response,
     .user = request,
   };
   load->sent++;
-  load->lanes[lane] = request;
+  load->slots[slot] = request;
   request->call = mr_http_client_call (load->client, &info, NULL);
   if (!request->call)
-    S_end (request, NULL);
+    S_finish_request (request, NULL);
 }
 
 /* Addresses. */
 
 static void
-S_take_addresses (Load *load, const MrHttpResponse *answer)
+S_update_addresses (Load *load, const MrHttpResponse *response)
 {
   load->refreshing = FALSE;
-  json_t *root = answer->outcome == MR_HTTP_OK
-                     ? json_loadb (answer->body.data, answer->body.len, 0, NULL)
+  json_t *root = response->outcome == MR_HTTP_OK
+                     ? json_loadb (response->body.data, response->body.len, 0, NULL)
                      : NULL;
-  const json_t *list = json_object_get (root, "addresses");
+  const json_t *address_list = json_object_get (root, "addresses");
   MrTime now = mr_now ();
   load->refresh_at = now + 100 * MR_MS;
-  if (json_array_size (list) > 0)
+  if (json_array_size (address_list) > 0)
     {
       for (guint i = 0; i < load->address_count; i++)
         g_free (load->addresses[i].ip);
       load->address_count = 0;
       size_t i = 0;
       json_t *item = NULL;
-      json_array_foreach (list, i, item)
+      json_array_foreach (address_list, i, item)
       {
         if (load->address_count == ADDRESSES_MAX)
           break;
@@ -195,15 +195,15 @@
 }
 
 static gboolean
-S_refreshed (void *user, const MrHttpResponse *answer)
+S_on_addresses (void *user, const MrHttpResponse *response)
 {
-  S_take_addresses (user, answer);
+  S_update_addresses (user, response);
   return TRUE;
 }
 
-/* Asks one of the addresses in use, the entry that was given at first. */
+/* Requests addresses from one of those in use; the first time from --entry. */
 static void
-S_refresh (Load *load)
+S_request_addresses (Load *load)
 {
   g_autofree char *ip = NULL;
   int port = 0;
@@ -219,9 +219,9 @@
     .method = "GET",
     .ip = ip,
     .port = port,
-    .connection_slot = LANES,
+    .connection_slot = SLOTS,
     .path = "/v1/addresses?count=16",
-    .on_response = S_refreshed,
+    .on_response = S_on_addresses,
     .user = load,
   };
   load->refreshing = mr_http_client_call (load->client, &info, NULL) != NULL;
@@ -231,25 +231,25 @@
 /* The loop. */
 
 static void
-S_give_up (Load *load, MrTime now)
+S_abort_overdue (Load *load, MrTime now)
 {
-  for (guint lane = 0; lane < LANES; lane++)
+  for (guint slot = 0; slot < SLOTS; slot++)
     {
-      Request *request = load->lanes[lane];
-      if (!request || !request->call || now < request->give_up_at)
+      Request *request = load->slots[slot];
+      if (!request || !request->call || now < request->abort_at)
         continue;
       mr_http_client_abort (request->call);
-      S_end (request, NULL);
+      S_finish_request (request, NULL);
     }
 }
 
 static guint
-S_free_lane (const Load *load)
+S_find_free_slot (const Load *load)
 {
-  for (guint lane = 0; lane < LANES; lane++)
-    if (!load->lanes[lane])
-      return lane;
-  return LANES;
+  for (guint slot = 0; slot < SLOTS; slot++)
+    if (!load->slots[slot])
+      return slot;
+  return SLOTS;
 }
 
 static MrTime
@@ -259,36 +259,36 @@
   guint64 total = (guint64) opt.rate * (guint64) opt.seconds;
   MrTime gap = MR_SECOND / opt.rate;
   if (!load->refreshing && now >= load->refresh_at)
-    S_refresh (load);
+    S_request_addresses (load);
   if (load->address_count == 0)
     {
-      if (now > load->begun + ADDRESS_WAIT)
+      if (now > load->started_at + ADDRESS_TIMEOUT)
         {
           load->failed = total;
           mr_loop_stop (load->loop);
         }
       return now + 10 * MR_MS;
     }
-  if (load->started == 0)
-    load->started = now;
+  if (load->load_started_at == 0)
+    load->load_started_at = now;
   while (load->sent + load->skipped < total)
     {
-      MrTime due = load->started + (MrTime) (load->sent + load->skipped) * gap;
-      guint lane = S_free_lane (load);
+      MrTime due = load->load_started_at + (MrTime) (load->sent + load->skipped) * gap;
+      guint slot = S_find_free_slot (load);
       if (due > now)
         break;
-      if (lane == LANES)
+      if (slot == SLOTS)
         load->skipped++;
       else
-        S_send (load, due, lane);
+        S_send (load, due, slot);
     }
-  S_give_up (load, now);
+  S_abort_overdue (load, now);
   if (load->ended + load->skipped == total)
     {
       mr_loop_stop (load->loop);
       return MR_NEVER;
     }
-  MrTime next = load->started + (MrTime) (load->sent + load->skipped) * gap;
+  MrTime next = load->load_started_at + (MrTime) (load->sent + load->skipped) * gap;
   return MIN (MAX (next, now + 1), now + 20 * MR_MS);
 }
 
@@ -308,12 +308,15 @@
 }
 
 static const struct argp_option options[] = {
-  { .name = "entry", .key = 'e', .arg = "IP:PORT", .doc = "A daemon to ask for addresses first" },
+  { .name = "entry",
+    .key = 'e',
+    .arg = "IP:PORT",
+    .doc = "Daemon that provides the first addresses" },
   { .name = "service", .key = 's', .arg = "NAME", .doc = "Service to search" },
   { .name = "query", .key = 'q', .arg = "WORDS", .doc = "Words to search for" },
   { .name = "class", .key = 'c', .arg = "CLASS", .doc = "urgent, interactive or browsing" },
   { .name = "rate", .key = 'r', .arg = "N", .doc = "Requests a second" },
-  { .name = "seconds", .key = 't', .arg = "N", .doc = "How long" },
+  { .name = "seconds", .key = 't', .arg = "N", .doc = "Duration of the load" },
   { .name = "deadline-ms", .key = 'd', .arg = "MS", .doc = "Deadline of each request" },
   { 0 },
 };
@@ -353,15 +356,16 @@
 int
 main (int argc, char **argv)
 {
-  struct argp argp = { .options = options, .parser = S_parse, .doc = "Load on loopback." };
+  struct argp argp = { .options = options,
+                       .parser = S_parse,
+                       .doc = "Load generator for a system on loopback." };
   argp_parse (&argp, argc, argv, 0, NULL, NULL);
   if (opt.rate < 1 || opt.rate > RATE_MAX || opt.seconds < 1 || opt.seconds > SECONDS_MAX ||
       mr_traffic_class_from_name (mr_text (opt.traffic_class)) == MR_TRAFFIC_CLASS_COUNT ||
       !g_str_has_prefix (opt.entry, "127."))
     {
       fprintf (stderr,
-               "load: expected --rate 1 to %d, --seconds 1 to %d, a known "
-               "--class, and an "
+               "load: expected --rate from 1 to %d, --seconds from 1 to %d, a known --class and an "
                "--entry on loopback\n",
                RATE_MAX, SECONDS_MAX);
       return EXIT_FAILURE;
@@ -371,8 +375,8 @@
   load.loop = mr_loop_new (&load.host, DESCRIPTORS);
   if (!load.loop)
     return EXIT_FAILURE;
-  load.begun = mr_now ();
-  load.client = mr_http_client_new (load.loop, LANES + 1);
+  load.started_at = mr_now ();
+  load.client = mr_http_client_new (load.loop, SLOTS + 1);
   mr_loop_run (load.loop);
   S_report (&load);
   mr_loop_free (load.loop);
--- a/demo/platformd.c
+++ b/demo/platformd.c
@@ -1,7 +1,7 @@
-/* Stand-in for the platform's object API (docs/PLATFORM-API.md): objects with
- * versions, conditional writes, watches by long poll, a list of VMs that lags.
+/* Stand-in for the platform's object API (docs/PLATFORM-API.md): versioned objects,
+ * conditional writes, long-poll watches and a list of VMs that is updated with a delay.
  *
- * Faults are set with PUT /faults; GET /stats counts calls.  Memory only. */
+ * PUT /faults sets faults; GET /stats returns call counts.  All data is in memory. */
 
 #include "http_server.h"
 #include <argp.h>
@@ -22,7 +22,7 @@
   guint64 version;
   GString *body;
   gboolean deleted;
-  guint64 old_version; /* what a stale read gives */
+  guint64 old_version; /* returned by a stale read */
   GString *old_body;
 } Object;
 
@@ -34,17 +34,17 @@
   gboolean removed;
 } Vm;
 
-/* A reply that waits: for a change, or for the slowness that was set. */
+/* A reply that is delayed: a watch without changes yet, or the slow_ms fault. */
 typedef struct
 {
   guint64 id;
   MrTime due;
-  char *kind; /* of a watch */
+  char *kind; /* watched kind; NULL: not a watch */
   guint64 since;
   int status;
   GString *body;
   gboolean drop;
-} Waiting;
+} DelayedReply;
 
 typedef struct
 {
@@ -63,7 +63,7 @@
   /* Faults. */
   gboolean down;
   gint64 slow_ms;
-  gint64 lose_writes; /* this many writes stand but get no reply */
+  gint64 lose_writes; /* number of writes to apply without a reply */
   gboolean stale;
   MrTime vms_lag;
 } Platform;
@@ -81,9 +81,9 @@
 }
 
 static void
-S_waiting_free (gpointer data)
+S_delayed_reply_free (gpointer data)
 {
-  Waiting *waiting = data;
+  DelayedReply *waiting = data;
   g_free (waiting->kind);
   if (waiting->body)
     g_string_free (waiting->body, TRUE);
@@ -91,7 +91,7 @@
 }
 
 static GHashTable *
-S_kind (Platform *p, const char *kind)
+S_objects_of_kind (Platform *p, const char *kind)
 {
   GHashTable *objects = g_hash_table_lookup (p->kinds, kind);
   if (objects)
@@ -101,7 +101,7 @@
   return objects;
 }
 
-/* Replies, at once or after the slowness that was set. */
+/* Replies at once, or after the delay of the slow_ms fault. */
 static void
 S_reply (Platform *p, guint64 id, int status, json_t *root)
 {
@@ -109,7 +109,7 @@
   json_decref (root);
   if (p->slow_ms > 0)
     {
-      Waiting *waiting = g_new0 (Waiting, 1);
+      DelayedReply *waiting = g_new0 (DelayedReply, 1);
       waiting->id = id;
       waiting->due = mr_now () + p->slow_ms * MR_MS;
       waiting->status = status;
@@ -125,7 +125,7 @@
 }
 
 static void
-S_error (Platform *p, guint64 id, int status, const char *message)
+S_reply_error (Platform *p, guint64 id, int status, const char *message)
 {
   S_reply (p, id, status, json_pack ("{s:s}", "error", message));
 }
@@ -147,7 +147,7 @@
   GHashTableIter iter;
   gpointer item = NULL;
   *count = 0;
-  g_hash_table_iter_init (&iter, S_kind (p, kind));
+  g_hash_table_iter_init (&iter, S_objects_of_kind (p, kind));
   while (g_hash_table_iter_next (&iter, NULL, &item))
     {
       const Object *object = item;
@@ -160,7 +160,10 @@
 }
 
 static gboolean
-S_number (const MrHttpRequest *request, const char *name, guint64 fallback, guint64 *out)
+S_parse_number_argument (const MrHttpRequest *request,
+                         const char *name,
+                         guint64 fallback,
+                         guint64 *out)
 {
   const char *text = mr_http_query_arg (request, name, NULL);
   *out = fallback;
@@ -172,10 +175,10 @@
 {
   guint64 since = 0;
   guint64 wait_ms = 0;
-  if (!S_number (request, "since", 0, &since) || !S_number (request, "wait_ms", 0, &wait_ms) ||
-      wait_ms > WAIT_MAX_MS)
+  if (!S_parse_number_argument (request, "since", 0, &since) ||
+      !S_parse_number_argument (request, "wait_ms", 0, &wait_ms) || wait_ms > WAIT_MAX_MS)
     {
-      S_error (p, request->id, 400, "since, wait_ms: expected whole numbers");
+      S_reply_error (p, request->id, 400, "since, wait_ms: expected whole numbers");
       return;
     }
   guint count = 0;
@@ -187,7 +190,7 @@
     }
   json_decref (root);
   p->watches++;
-  Waiting *waiting = g_new0 (Waiting, 1);
+  DelayedReply *waiting = g_new0 (DelayedReply, 1);
   waiting->id = request->id;
   waiting->due = mr_now () + (MrTime) wait_ms * MR_MS;
   waiting->kind = g_strdup (kind);
@@ -200,7 +203,7 @@
 {
   for (guint i = 0; i < p->waiting->len; i++)
     {
-      Waiting *waiting = g_ptr_array_index (p->waiting, i);
+      DelayedReply *waiting = g_ptr_array_index (p->waiting, i);
       if (waiting->kind && g_str_equal (waiting->kind, kind))
         waiting->due = 0;
     }
@@ -209,16 +212,16 @@
 static void
 S_on_read (Platform *p, const MrHttpRequest *request, const char *kind, const char *name)
 {
-  const Object *object = g_hash_table_lookup (S_kind (p, kind), name);
+  const Object *object = g_hash_table_lookup (S_objects_of_kind (p, kind), name);
   if (!object || object->deleted)
-    S_error (p, request->id, 404, "no such object");
+    S_reply_error (p, request->id, 404, "no such object");
   else
     S_reply (p, request->id, 200, S_object_json (p, object));
 }
 
-/* Answers a write, or drops the connection after it was applied. */
+/* Replies to a write that was applied, or drops the connection instead. */
 static void
-S_end_write (Platform *p, guint64 id, guint64 version)
+S_reply_to_write (Platform *p, guint64 id, guint64 version)
 {
   if (p->lose_writes > 0)
     {
@@ -237,10 +240,10 @@
   gboolean delete = mr_text_equal (request->method, MR_TEXT ("DELETE"));
   if (!version || !mr_text_parse_u64 (mr_text (version), &expected))
     {
-      S_error (p, request->id, 400, "version: expected the version read, or 0 to create");
+      S_reply_error (p, request->id, 400, "version: expected the version read, or 0 to create");
       return;
     }
-  GHashTable *objects = S_kind (p, kind);
+  GHashTable *objects = S_objects_of_kind (p, kind);
   Object *object = g_hash_table_lookup (objects, name);
   guint64 current = object && !object->deleted ? object->version : 0;
   if (expected != current)
@@ -266,7 +269,7 @@
   g_string_truncate (object->body, 0);
   g_string_append_len (object->body, request->body.data, (gssize) request->body.len);
   S_wake_watches (p, kind);
-  S_end_write (p, request->id, object->version);
+  S_reply_to_write (p, request->id, object->version);
 }
 
 static void
@@ -285,26 +288,26 @@
       S_reply (p, request->id, 200, json_pack ("{s:I}", "version", (json_int_t) p->revision));
       return;
     }
-  json_t *seen = json_object ();
+  json_t *visible = json_object ();
   for (guint i = 0; i < p->vms->len; i++)
     {
       const Vm *vm = g_ptr_array_index (p->vms, i);
       if (vm->visible_at > now)
         continue;
       if (vm->removed)
-        json_object_del (seen, vm->id);
+        json_object_del (visible, vm->id);
       else
-        json_object_set_new (seen, vm->id, json_loadb (vm->body->str, vm->body->len, 0, NULL));
+        json_object_set_new (visible, vm->id, json_loadb (vm->body->str, vm->body->len, 0, NULL));
     }
   json_t *list = json_array ();
   const char *id = NULL;
   json_t *value = NULL;
-  json_object_foreach (seen, id, value)
+  json_object_foreach (visible, id, value)
   {
     json_object_set_new (value, "id", json_string (id));
     json_array_append (list, value);
   }
-  json_decref (seen);
+  json_decref (visible);
   S_reply (p, request->id, 200,
            json_pack ("{s:I, s:o}", "revision", (json_int_t) p->revision, "vms", list));
 }
@@ -315,11 +318,11 @@
   p->down = atoi (mr_http_query_arg (request, "down", p->down ? "1" : "0")) != 0;
   p->stale = atoi (mr_http_query_arg (request, "stale", p->stale ? "1" : "0")) != 0;
   const char *slow = mr_http_query_arg (request, "slow_ms", NULL);
-  const char *lose = mr_http_query_arg (request, "lose_writes", NULL);
+  const char *lose_writes = mr_http_query_arg (request, "lose_writes", NULL);
   if (slow)
     p->slow_ms = atoll (slow);
-  if (lose)
-    p->lose_writes = atoll (lose);
+  if (lose_writes)
+    p->lose_writes = atoll (lose_writes);
   MrHttpReply reply = { .status = 200, .body = MR_TEXT ("{}") };
   mr_http_server_reply (p->server, request->id, &reply);
 }
@@ -347,7 +350,7 @@
   else if (count == 5 && !mr_text_equal (request->method, MR_TEXT ("POST")))
     S_on_write (p, request, parts[3], parts[4]);
   else
-    S_error (p, request->id, 404, "no such path");
+    S_reply_error (p, request->id, 404, "no such path");
 }
 
 static void
@@ -377,12 +380,12 @@
   else if (g_str_has_prefix (path, "/v1/objects/"))
     S_on_object_request (p, request, parts, g_strv_length (parts));
   else
-    S_error (p, request->id, 404, "no such path");
+    S_reply_error (p, request->id, 404, "no such path");
 }
 
-/* Ends one wait that is due. */
+/* Sends a delayed reply that is due. */
 static void
-S_end_wait (Platform *p, Waiting *waiting)
+S_send_delayed_reply (Platform *p, DelayedReply *waiting)
 {
   if (p->down)
     mr_http_server_drop (p->server, waiting->id);
@@ -405,15 +408,15 @@
   MrTime next = MR_NEVER;
   for (guint i = p->waiting->len; i > 0; i--)
     {
-      Waiting *waiting = g_ptr_array_index (p->waiting, i - 1);
+      DelayedReply *waiting = g_ptr_array_index (p->waiting, i - 1);
       if (waiting->due > now && !p->down)
         {
           next = MIN (next, waiting->due);
           continue;
         }
       waiting = g_ptr_array_steal_index_fast (p->waiting, i - 1);
-      S_end_wait (p, waiting);
-      S_waiting_free (waiting);
+      S_send_delayed_reply (p, waiting);
+      S_delayed_reply_free (waiting);
     }
   return next;
 }
@@ -423,7 +426,7 @@
 static int opt_lag_ms = 500;
 
 static error_t
-S_parse (int key, char *arg, struct argp_state *state)
+S_parse_option (int key, char *arg, struct argp_state *state)
 {
   (void) state;
   if (key == 'i')
@@ -443,10 +446,12 @@
   const struct argp_option options[] = {
     { .name = "ip", .key = 'i', .arg = "IP", .doc = "Address to listen on" },
     { .name = "port", .key = 'p', .arg = "PORT", .doc = "Port to listen on" },
-    { .name = "vms-lag-ms", .key = 'l', .arg = "MS", .doc = "Lag of the list of VMs" },
+    { .name = "vms-lag-ms", .key = 'l', .arg = "MS", .doc = "Delay of updates of the list of VMs" },
     { 0 },
   };
-  struct argp argp = { .options = options, .parser = S_parse, .doc = "Platform stand-in." };
+  struct argp argp = { .options = options,
+                       .parser = S_parse_option,
+                       .doc = "Stand-in for the platform." };
   argp_parse (&argp, argc, argv, 0, NULL, NULL);
   signal (SIGPIPE, SIG_IGN);
   Platform p = {
--- a/demo/searcherd.c
+++ b/demo/searcherd.c
@@ -1,9 +1,9 @@
-/* Stand-in for searchers (docs/TARGET-PROTOCOL.md): slots, a connection cap, a
- * cost for new connections, service times from a seeded distribution.
+/* Stand-in for searchers (docs/TARGET-PROTOCOL.md) with a limited number of slots and
+ * connections, a cost of new connections and random service times from a seed.
  *
- * One process plays --count searchers on consecutive ports.  Every searcher
- * holds every shard of the catalogue; the shard map says who serves what.
- * Faults are set with PUT /control on a searcher's own port. */
+ * One process runs --count searchers on consecutive ports.  Every searcher has all
+ * shards of the catalogue; the shard map assigns them.  PUT /control on the port of a
+ * searcher sets its faults. */
 
 #include "catalogue.h"
 #include "http_server.h"
@@ -22,24 +22,24 @@
 
 typedef struct _Searcher Searcher;
 
-/* A request that holds a slot. */
+/* A call that occupies a slot. */
 typedef struct
 {
   guint64 http_id;
   char *call_id;
   MrTime due;
   GString *reply;
-  gboolean silent; /* is never answered */
-} Job;
+  gboolean silent; /* gets no response */
+} ActiveCall;
 
 struct _Searcher
 {
   MrHttpHandler http_host;
   MrHttpServer *server;
   guint index;
-  GPtrArray *jobs;
+  GPtrArray *active_calls;
   GHashTable *snapshots; /* set */
-  MrTime warm_at;        /* cold until then */
+  MrTime warm_at;        /* slow until then */
   /* Faults. */
   gboolean draining;
   gboolean dead; /* closes every connection */
@@ -47,7 +47,7 @@
   double slow_factor;
   gboolean wrong_snapshot;
   gboolean wrong_id;
-  gboolean drop_orders; /* runs orders, then drops the connection */
+  gboolean drop_orders; /* runs an order, then drops the connection */
   /* Counts. */
   guint64 calls;
   guint64 shed;
@@ -62,15 +62,15 @@
   MrLoop *loop;
   MrCatalogue *catalogue;
   Searcher *searchers;
-  GHashTable *ran; /* ticket -> how often it ran, over all searchers */
-  MrTime crash_at; /* MR_NEVER: not to end by itself */
+  GHashTable *ticket_runs; /* ticket -> number of runs, over all searchers */
+  MrTime crash_at;         /* MR_NEVER: no crash is scheduled */
   GRand *random;
 } Process;
 
 static Process process = { .crash_at = MR_NEVER };
 
-/* From the begin of a search that ends the process to that end. */
-static const MrTime CRASH_AFTER = 40 * MR_MS;
+/* Time from the start of a search for --crash-on to the exit of the process. */
+static const MrTime CRASH_DELAY = 40 * MR_MS;
 
 static struct
 {
@@ -105,9 +105,9 @@
 };
 
 static void
-S_job_free (gpointer data)
+S_active_call_free (gpointer data)
 {
-  Job *job = data;
+  ActiveCall *job = data;
   g_free (job->call_id);
   g_string_free (job->reply, TRUE);
   g_free (job);
@@ -121,28 +121,28 @@
 }
 
 static double
-S_gauss (void)
+S_random_normal (void)
 {
   double u = g_rand_double_range (process.random, 1e-9, 1);
   double v = g_rand_double (process.random);
   return sqrt (-2 * log (u)) * cos (2 * G_PI * v);
 }
 
-/* Log-normal about the median that was set; ten times slower while cold. */
+/* Log-normal with the configured median; ten times slower while cold. */
 static MrTime
 S_service_time (const Searcher *s, MrTime now)
 {
-  double time = opt.service_us * exp (opt.sigma * S_gauss ()) * s->slow_factor;
+  double time = opt.service_us * exp (opt.sigma * S_random_normal ()) * s->slow_factor;
   return (MrTime) (now < s->warm_at ? time * 10 : time);
 }
 
-/* TRUE if the request may take a slot; else it has been refused. */
+/* TRUE if a slot is free; otherwise the request has been refused. */
 static gboolean
 S_take_slot (Searcher *s, guint64 id)
 {
   if (s->draining)
     S_reply (s, id, 503, "{\"error\":\"draining\",\"ran\":false}");
-  else if (s->jobs->len >= (guint) opt.slots)
+  else if (s->active_calls->len >= (guint) opt.slots)
     {
       s->shed++;
       S_reply (s, id, 503, "{\"error\":\"shed\",\"ran\":false}");
@@ -152,19 +152,18 @@
   return FALSE;
 }
 
-/* Keeps a slot for the service time, then answers with @reply, which it takes.
- */
+/* Occupies a slot for the service time, then sends @reply.  Takes ownership of @reply. */
 static void
-S_work (Searcher *s, const MrHttpRequest *request, GString *reply)
+S_start_call (Searcher *s, const MrHttpRequest *request, GString *reply)
 {
   MrTime now = mr_now ();
-  Job *job = g_new0 (Job, 1);
+  ActiveCall *job = g_new0 (ActiveCall, 1);
   job->http_id = request->id;
   job->call_id = g_strdup (mr_http_query_arg (request, "id", ""));
   job->due = now + S_service_time (s, now) + (request->first_on_connection ? opt.connect_us : 0);
   job->reply = reply;
   job->silent = s->silent;
-  g_ptr_array_add (s->jobs, job);
+  g_ptr_array_add (s->active_calls, job);
 }
 
 static void
@@ -188,8 +187,8 @@
     return;
   if (opt.crash_on && g_str_equal (mr_http_query_arg (request, "q", ""), opt.crash_on))
     {
-      fprintf (stderr, "searcherd: begins what ends it\n");
-      process.crash_at = MIN (process.crash_at, mr_now () + CRASH_AFTER);
+      fprintf (stderr, "searcherd: received the --crash-on query; exiting\n");
+      process.crash_at = MIN (process.crash_at, mr_now () + CRASH_DELAY);
       return;
     }
   GString *reply = g_string_new (NULL);
@@ -199,7 +198,7 @@
   mr_catalogue_search (process.catalogue, index, mr_http_query_arg (request, "q", ""),
                        (guint) atoi (mr_http_query_arg (request, "k", "10")), reply);
   g_string_append (reply, "}");
-  S_work (s, request, reply);
+  S_start_call (s, request, reply);
 }
 
 static void
@@ -208,8 +207,8 @@
   const char *ticket = mr_http_query_arg (request, "ticket", "");
   if (!S_take_slot (s, request->id))
     return;
-  guint times = GPOINTER_TO_UINT (g_hash_table_lookup (process.ran, ticket)) + 1;
-  g_hash_table_replace (process.ran, g_strdup (ticket), GUINT_TO_POINTER (times));
+  guint times = GPOINTER_TO_UINT (g_hash_table_lookup (process.ticket_runs, ticket)) + 1;
+  g_hash_table_replace (process.ticket_runs, g_strdup (ticket), GUINT_TO_POINTER (times));
   s->orders++;
   if (s->drop_orders)
     {
@@ -220,21 +219,21 @@
   g_string_append_printf (reply,
                           "{\"id\":\"%s\",\"ticket\":\"%s\",\"order\":\"taken\",\"times\":%u}",
                           mr_http_query_arg (request, "id", ""), ticket, times);
-  S_work (s, request, reply);
+  S_start_call (s, request, reply);
 }
 
 static void
 S_on_cancel (Searcher *s, const MrHttpRequest *request)
 {
   const char *id = mr_http_query_arg (request, "id", "");
-  for (guint i = 0; i < s->jobs->len; i++)
+  for (guint i = 0; i < s->active_calls->len; i++)
     {
-      Job *job = g_ptr_array_index (s->jobs, i);
+      ActiveCall *job = g_ptr_array_index (s->active_calls, i);
       if (!g_str_equal (job->call_id, id) || job->silent)
         continue;
       s->cancelled++;
       S_reply (s, job->http_id, 499, "{\"error\":\"cancelled\",\"ran\":true}");
-      g_ptr_array_remove_index_fast (s->jobs, i);
+      g_ptr_array_remove_index_fast (s->active_calls, i);
       break;
     }
   S_reply (s, request->id, 200, "{}");
@@ -274,20 +273,20 @@
 static void
 S_on_stats (Searcher *s, const MrHttpRequest *request)
 {
-  guint doubled = 0;
+  guint run_twice = 0;
   GHashTableIter iter;
   gpointer times = NULL;
-  g_hash_table_iter_init (&iter, process.ran);
+  g_hash_table_iter_init (&iter, process.ticket_runs);
   while (g_hash_table_iter_next (&iter, NULL, &times))
-    doubled += GPOINTER_TO_UINT (times) > 1;
+    run_twice += GPOINTER_TO_UINT (times) > 1;
   g_autofree char *text =
       g_strdup_printf ("{\"calls\":%" G_GUINT64_FORMAT ",\"shed\":%" G_GUINT64_FORMAT
                        ",\"orders\":%" G_GUINT64_FORMAT ",\"cancelled\":%" G_GUINT64_FORMAT
                        ",\"busy\":%u,\"connections\":%u,"
                        "\"peak_connections\":%u,\"tickets\":%u,\"tickets_run_twice\":%u}\n",
-                       s->calls, s->shed, s->orders, s->cancelled, s->jobs->len,
+                       s->calls, s->shed, s->orders, s->cancelled, s->active_calls->len,
                        mr_http_server_connection_count (s->server), s->peak_connections,
-                       g_hash_table_size (process.ran), doubled);
+                       g_hash_table_size (process.ticket_runs), run_twice);
   S_reply (s, request->id, 200, text);
 }
 
@@ -312,12 +311,13 @@
       mr_http_server_drop (s->server, request->id);
       return;
     }
-  /* Health says "up" whatever happens: such pages lag and mislead. */
+  /* Health always reports "up": real health pages are out of date or wrong, so callers must
+   * not depend on them. */
   if (mr_text_equal (request->path, MR_TEXT ("/v1/health")) ||
       mr_text_equal (request->path, MR_TEXT ("/v1/load")))
     {
-      g_autofree char *text =
-          g_strdup_printf ("{\"status\":\"up\",\"busy\":%u,\"slots\":%d}", s->jobs->len, opt.slots);
+      g_autofree char *text = g_strdup_printf ("{\"status\":\"up\",\"busy\":%u,\"slots\":%d}",
+                                               s->active_calls->len, opt.slots);
       S_reply (s, request->id, 200, text);
       return;
     }
@@ -331,24 +331,24 @@
 }
 
 static void
-S_on_gone (MrHttpHandler *host, guint64 id)
+S_on_disconnect (MrHttpHandler *host, guint64 id)
 {
   Searcher *s = (Searcher *) host;
-  for (guint i = 0; i < s->jobs->len; i++)
-    if (((Job *) g_ptr_array_index (s->jobs, i))->http_id == id)
+  for (guint i = 0; i < s->active_calls->len; i++)
+    if (((ActiveCall *) g_ptr_array_index (s->active_calls, i))->http_id == id)
       {
-        g_ptr_array_remove_index_fast (s->jobs, i);
+        g_ptr_array_remove_index_fast (s->active_calls, i);
         return;
       }
 }
 
 static MrTime
-S_end_jobs (Searcher *s, MrTime now)
+S_finish_due_calls (Searcher *s, MrTime now)
 {
   MrTime next = MR_NEVER;
-  for (guint i = s->jobs->len; i > 0; i--)
+  for (guint i = s->active_calls->len; i > 0; i--)
     {
-      Job *job = g_ptr_array_index (s->jobs, i - 1);
+      ActiveCall *job = g_ptr_array_index (s->active_calls, i - 1);
       if (job->silent)
         continue;
       if (job->due > now)
@@ -357,7 +357,7 @@
           continue;
         }
       S_reply (s, job->http_id, 200, job->reply->str);
-      g_ptr_array_remove_index_fast (s->jobs, i - 1);
+      g_ptr_array_remove_index_fast (s->active_calls, i - 1);
     }
   return next;
 }
@@ -370,16 +370,16 @@
     exit (EXIT_SUCCESS);
   MrTime next = process.crash_at;
   for (int i = 0; i < opt.count; i++)
-    next = MIN (next, S_end_jobs (&process.searchers[i], now));
+    next = MIN (next, S_finish_due_calls (&process.searchers[i], now));
   return next;
 }
 
 static int
-S_start (Searcher *s, guint index)
+S_start_searcher (Searcher *s, guint index)
 {
   s->index = index;
-  s->http_host = (MrHttpHandler){ .on_request = S_on_request, .on_disconnect = S_on_gone };
-  s->jobs = g_ptr_array_new_with_free_func (S_job_free);
+  s->http_host = (MrHttpHandler){ .on_request = S_on_request, .on_disconnect = S_on_disconnect };
+  s->active_calls = g_ptr_array_new_with_free_func (S_active_call_free);
   s->snapshots = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   s->slow_factor = 1;
   s->warm_at = mr_now () + opt.cold_ms * MR_MS;
@@ -401,20 +401,29 @@
   { .name = "count", .key = 'n', .arg = "N", .doc = "Searchers, on consecutive ports" },
   { .name = "slots", .key = 's', .arg = "N", .doc = "Calls served at once by each" },
   { .name = "connections", .key = 'c', .arg = "N", .doc = "Connections accepted by each" },
-  { .name = "connect-us", .key = 'C', .arg = "US", .doc = "Cost of a new connection" },
+  { .name = "connect-us",
+    .key = 'C',
+    .arg = "US",
+    .doc = "Additional service time of the first call on a connection" },
   { .name = "service-us", .key = 't', .arg = "US", .doc = "Median service time" },
-  { .name = "sigma", .key = 'g', .arg = "X", .doc = "Spread of its logarithm" },
-  { .name = "cold-ms", .key = 'o', .arg = "MS", .doc = "Time that it is slow after a start" },
-  { .name = "seed", .key = 'S', .arg = "N", .doc = "Of service times and of the catalogue" },
-  { .name = "shards", .key = 'h', .arg = "N", .doc = "Shards of the catalogue" },
-  { .name = "records", .key = 'r', .arg = "N", .doc = "Records of the catalogue" },
-  { .name = "snapshot", .key = 'v', .arg = "NAME", .doc = "Snapshot held at the start" },
-  { .name = "crash-on", .key = 'x', .arg = "TEXT", .doc = "A search for TEXT ends the process" },
+  { .name = "sigma",
+    .key = 'g',
+    .arg = "X",
+    .doc = "Standard deviation of the logarithm of the service time" },
+  { .name = "cold-ms",
+    .key = 'o',
+    .arg = "MS",
+    .doc = "Time after a start during which calls are slow" },
+  { .name = "seed", .key = 'S', .arg = "N", .doc = "Random seed of service times and catalogue" },
+  { .name = "shards", .key = 'h', .arg = "N", .doc = "Number of shards of the catalogue" },
+  { .name = "records", .key = 'r', .arg = "N", .doc = "Number of records of the catalogue" },
+  { .name = "snapshot", .key = 'v', .arg = "NAME", .doc = "Snapshot loaded at the start" },
+  { .name = "crash-on", .key = 'x', .arg = "TEXT", .doc = "A search for TEXT crashes the process" },
   { 0 },
 };
 
 static error_t
-S_parse (int key, char *arg, struct argp_state *state)
+S_parse_option (int key, char *arg, struct argp_state *state)
 {
   const struct
   {
@@ -449,7 +458,9 @@
 int
 main (int argc, char **argv)
 {
-  struct argp argp = { .options = options, .parser = S_parse, .doc = "Searcher stand-ins." };
+  struct argp argp = { .options = options,
+                       .parser = S_parse_option,
+                       .doc = "Stand-in for searchers." };
   argp_parse (&argp, argc, argv, 0, NULL, NULL);
   opt.count = CLAMP (opt.count, 1, COUNT_MAX);
   signal (SIGPIPE, SIG_IGN);
@@ -458,10 +469,10 @@
   process.catalogue =
       mr_catalogue_new ((guint) opt.records, (guint) opt.shards, (guint32) opt.seed);
   process.searchers = g_new0 (Searcher, opt.count);
-  process.ran = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  process.ticket_runs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   process.random = g_rand_new_with_seed ((guint32) opt.seed);
   for (int i = 0; i < opt.count; i++)
-    if (S_start (&process.searchers[i], (guint) i) != 0)
+    if (S_start_searcher (&process.searchers[i], (guint) i) != 0)
       return EXIT_FAILURE;
   mr_loop_run (process.loop);
   return EXIT_SUCCESS;
