--- a/bench/bench_control.c
+++ b/bench/bench_control.c
@@ -1,9 +1,10 @@
-/* make bench, make slopes: what control costs as the fleet grows.
+/* make bench, make slopes: cost of control traffic by fleet size.
  *
- * Real membership, spread and starts of every daemon on a virtual clock (test/fleet.h).
- * One table for a calm minute, one for a day on which much goes wrong: all daemons are
- * killed, two fifths of the targets are replaced, a rack is lost, a region is cut off
- * and healed.  No sockets; 56 bytes of TCP, IP and ZeroMQ are added to each message. */
+ * Runs the real membership, replication and bootstrap code of every daemon on a virtual
+ * clock (test/fleet.h).  The first table is for an idle minute, the second for a sequence
+ * of faults: all daemons are killed, two fifths of the targets are replaced, a rack fails,
+ * and a region is partitioned and reconnected.  No sockets are used; 56 bytes of TCP, IP
+ * and ZeroMQ overhead are added to each message. */
 
 #include "fleet.h"
 #include "log.h"
@@ -15,16 +16,16 @@
 
 enum
 {
-  WIRE_OVERHEAD = 54 + 2, /* TCP, IP and ZeroMQ framing of one message */
+  WIRE_OVERHEAD = 54 + 2, /* TCP and IP headers, and ZeroMQ framing, of one message */
   DOMAINS = 5,
   REGIONS = 2,
   SEEDS = 3,
-  STRONG_EACH = 3,
-  TARGETS_EACH = 6, /* targets for each daemon, as 4,800 for 810 */
-  CALM_SECONDS = 60,
+  LARGE_VMS_PER_DOMAIN = 3,
+  TARGETS_PER_DAEMON = 6, /* 4,800 targets for 810 daemons */
+  IDLE_SECONDS = 60,
 };
 
-static const MrTime WAIT_MOST = 120 * MR_SECOND;
+static const MrTime WAIT_MAX = 120 * MR_SECOND;
 
 static double
 S_cpu_seconds (void)
@@ -35,12 +36,12 @@
 }
 
 static double
-S_seconds (MrTime time)
+S_to_seconds (MrTime time)
 {
   return time == MR_NEVER ? -1 : (double) time / (double) MR_SECOND;
 }
 
-/* Bytes on the wire of all kinds, inside and across domains or across only. */
+/* Bytes on the wire of all message kinds; with @across_only, only those between domains. */
 static double
 S_wire_bytes (const Fleet *fleet, gboolean across_only)
 {
@@ -52,7 +53,7 @@
 }
 
 static double
-S_messages (const Fleet *fleet)
+S_count_messages (const Fleet *fleet)
 {
   double sum = 0;
   for (int kind = 0; kind < MR_TRAFFIC_KINDS; kind++)
@@ -61,17 +62,17 @@
 }
 
 static Fleet *
-S_fleet (guint count)
+S_create_fleet (guint count)
 {
   const FleetLayout layout = {
     .count = count,
     .domains = DOMAINS,
     .regions = REGIONS,
     .seeds = SEEDS,
-    .large_vms_per_domain = STRONG_EACH,
+    .large_vms_per_domain = LARGE_VMS_PER_DOMAIN,
   };
   Fleet *fleet = fleet_new (&layout);
-  for (guint t = 0; t < count * TARGETS_EACH; t++)
+  for (guint t = 0; t < count * TARGETS_PER_DAEMON; t++)
     fleet_write_target (fleet, t);
   return fleet;
 }
@@ -87,8 +88,8 @@
   return watchers;
 }
 
-/* Calls of relays to the platform on a calm day of DAY_SECONDS: each watcher lists
- * twice and holds two watches of 28 s, the rest read now and then. */
+/* Platform calls of the relays in DAY_SECONDS without faults: each watcher lists two kinds
+ * and renews a watch of 28 s for each; the other relays poll at the read interval. */
 static double
 S_relay_calls (const Fleet *fleet, guint watchers)
 {
@@ -104,37 +105,37 @@
 }
 
 static void
-S_calm (guint count)
+S_measure_idle (guint count)
 {
-  Fleet *fleet = S_fleet (count);
+  Fleet *fleet = S_create_fleet (count);
   fleet_start_all (fleet, 300 * MR_MS, FALSE);
-  MrTime agreed = fleet_run_until (fleet, fleet_converged, WAIT_MOST);
+  MrTime converged = fleet_run_until (fleet, fleet_converged, WAIT_MAX);
   fleet_run (fleet, 30 * MR_SECOND);
   fleet_clear_counts (fleet);
   double cpu = S_cpu_seconds ();
-  fleet_run (fleet, CALM_SECONDS * MR_SECOND);
+  fleet_run (fleet, IDLE_SECONDS * MR_SECOND);
   cpu = S_cpu_seconds () - cpu;
-  double each = count * (double) CALM_SECONDS;
+  double each = count * (double) IDLE_SECONDS;
   double bytes = S_wire_bytes (fleet, FALSE);
   double across = S_wire_bytes (fleet, TRUE);
-  double messages = S_messages (fleet);
+  double messages = S_count_messages (fleet);
   fleet_write_target (fleet, 0);
-  MrTime change = fleet_run_until (fleet, fleet_objects_agree, WAIT_MOST);
+  MrTime change = fleet_run_until (fleet, fleet_objects_agree, WAIT_MAX);
   fleet_kill (fleet, count / 2);
-  MrTime death = fleet_run_until (fleet, fleet_members_agree, WAIT_MOST);
+  MrTime death = fleet_run_until (fleet, fleet_members_agree, WAIT_MAX);
   guint watchers = S_count_watchers (fleet);
-  printf ("%7u %9.2f %9.0f %9.0f %9.1f %9.3f %9.2f %9.2f %9u %10.0f\n", count, S_seconds (agreed),
-          bytes / each, across / each, messages / each, cpu / each * 100, S_seconds (change),
-          S_seconds (death), watchers, S_relay_calls (fleet, watchers));
+  printf ("%7u %9.2f %9.0f %9.0f %9.1f %9.3f %9.2f %9.2f %9u %10.0f\n", count,
+          S_to_seconds (converged), bytes / each, across / each, messages / each, cpu / each * 100,
+          S_to_seconds (change), S_to_seconds (death), watchers, S_relay_calls (fleet, watchers));
   fleet_free (fleet);
 }
 
-/* A day. */
+/* A sequence of faults. */
 
 static void
 S_replace_targets (Fleet *fleet)
 {
-  guint count = fleet->layout.count * TARGETS_EACH * 2 / 5;
+  guint count = fleet->layout.count * TARGETS_PER_DAEMON * 2 / 5;
   for (guint i = 0; i < count; i++)
     {
       fleet_write_target (fleet, i);
@@ -144,42 +145,42 @@
 }
 
 static void
-S_lose_rack (Fleet *fleet)
+S_kill_rack (Fleet *fleet)
 {
   for (guint i = 0; i < fleet->layout.count / 20 + 1; i++)
     fleet_kill (fleet, SEEDS + 2 + i * DOMAINS < fleet->layout.count ? SEEDS + 2 + i * DOMAINS : 1);
 }
 
 static void
-S_day (guint count)
+S_measure_faults (guint count)
 {
-  Fleet *fleet = S_fleet (count);
+  Fleet *fleet = S_create_fleet (count);
   fleet_start_all (fleet, 300 * MR_MS, FALSE);
   fleet_run (fleet, 20 * MR_SECOND);
-  MrTime begin = fleet->now;
+  MrTime begin_time = fleet->now;
   fleet->store_reads = 0;
   fleet_clear_counts (fleet);
   fleet_restart_all (fleet, 300 * MR_MS, TRUE);
-  MrTime ready = fleet_run_until (fleet, fleet_all_ready, WAIT_MOST);
-  MrTime started = fleet_run_until (fleet, fleet_converged, WAIT_MOST);
+  MrTime all_ready = fleet_run_until (fleet, fleet_all_ready, WAIT_MAX);
+  MrTime started = fleet_run_until (fleet, fleet_converged, WAIT_MAX);
   fleet_run (fleet, 20 * MR_SECOND);
   S_replace_targets (fleet);
-  MrTime replaced = fleet_run_until (fleet, fleet_objects_agree, WAIT_MOST);
+  MrTime replaced = fleet_run_until (fleet, fleet_objects_agree, WAIT_MAX);
   fleet_run (fleet, 20 * MR_SECOND);
-  S_lose_rack (fleet);
-  MrTime rack = fleet_run_until (fleet, fleet_members_agree, WAIT_MOST);
+  S_kill_rack (fleet);
+  MrTime rack = fleet_run_until (fleet, fleet_members_agree, WAIT_MAX);
   fleet_run (fleet, 20 * MR_SECOND);
   fleet_cut_regions (fleet, TRUE);
   fleet_run (fleet, 30 * MR_SECOND);
   fleet_cut_regions (fleet, FALSE);
-  MrTime healed = fleet_run_until (fleet, fleet_converged, WAIT_MOST);
+  MrTime healed = fleet_run_until (fleet, fleet_converged, WAIT_MAX);
   fleet_run (fleet, 20 * MR_SECOND);
-  double each = count * S_seconds (fleet->now - begin);
+  double each = count * S_to_seconds (fleet->now - begin_time);
   printf ("%7u %9.2f %9.2f %9.2f %9.2f %9.2f %9.0f %9.0f %9" G_GUINT64_FORMAT "\n", count,
-          S_seconds (ready), S_seconds (started), S_seconds (replaced), S_seconds (rack),
-          S_seconds (healed), S_wire_bytes (fleet, FALSE) / each, S_wire_bytes (fleet, TRUE) / each,
-          fleet->store_reads);
-  printf ("        kB a daemon, inside/across:");
+          S_to_seconds (all_ready), S_to_seconds (started), S_to_seconds (replaced),
+          S_to_seconds (rack), S_to_seconds (healed), S_wire_bytes (fleet, FALSE) / each,
+          S_wire_bytes (fleet, TRUE) / each, fleet->store_reads);
+  printf ("        kB for each daemon, inside/across domains:");
   for (int kind = 0; kind < MR_TRAFFIC_KINDS; kind++)
     if (fleet->messages[kind][0] + fleet->messages[kind][1] > 0)
       printf (" %s %.0f/%.0f", mr_traffic_kind_name ((MrTrafficKind) kind),
@@ -189,7 +190,7 @@
   fleet_free (fleet);
 }
 
-/* Sizes may be given; without any, those of the page on capacity. */
+/* The arguments are fleet sizes; the default ones are those of docs/CAPACITY.md. */
 int
 main (int argc, char **argv)
 {
@@ -197,16 +198,18 @@
   mr_log_set_level (MR_LOG_ERROR);
   setvbuf (stdout, NULL, _IOLBF, 0);
   guint count = argc > 1 ? (guint) argc - 1 : G_N_ELEMENTS (sizes);
-  printf ("control, a calm minute (virtual clock, %d targets for each daemon)\n", TARGETS_EACH);
+  printf ("control traffic, an idle minute (virtual clock, %d targets for each daemon)\n",
+          TARGETS_PER_DAEMON);
   printf ("%7s %9s %9s %9s %9s %9s %9s %9s %9s %10s\n", "daemons", "agreed s", "B/s each", "across",
           "msg/s", "core %", "change s", "death s", "watchers", "calls/day");
   for (guint i = 0; i < count; i++)
-    S_calm (argc > 1 ? (guint) atoi (argv[i + 1]) : sizes[i]);
-  printf ("\ncontrol, a day with all killed, two fifths of the targets replaced, a rack lost, a"
-          " region cut off\n");
+    S_measure_idle (argc > 1 ? (guint) atoi (argv[i + 1]) : sizes[i]);
+  printf (
+      "\ncontrol traffic with all daemons killed, two fifths of the targets replaced, a rack lost,"
+      " a region partitioned\n");
   printf ("%7s %9s %9s %9s %9s %9s %9s %9s %9s\n", "daemons", "ready s", "agreed s", "targets s",
           "rack s", "healed s", "B/s each", "across", "reads");
   for (guint i = 0; i < count; i++)
-    S_day (argc > 1 ? (guint) atoi (argv[i + 1]) : sizes[i]);
+    S_measure_faults (argc > 1 ? (guint) atoi (argv[i + 1]) : sizes[i]);
   return EXIT_SUCCESS;
 }
--- a/bench/bench_relay.c
+++ b/bench/bench_relay.c
@@ -1,8 +1,8 @@
-/* make bench: the relay's decisions beside simpler ones, on the same seeds.
+/* make bench: compares the relay's policy with simpler ones, on the same seeds.
  *
- * A fleet and its targets on the virtual clock of test/relay_sim.c.  Credit is
- * what callers are served of what they asked: the share of the shards squared,
- * a tenth of it when late.  Mean of REPEATS seeds, least and most beside it. */
+ * Simulates a fleet and its targets on the virtual clock of test/relay_sim.c.  The utility
+ * of a response is the square of its coverage, and a tenth of that if it is late.  Each
+ * row has the mean over REPEATS seeds, followed by the minimum and maximum. */
 
 #include "log.h"
 #include "relay_site.h"
@@ -12,7 +12,7 @@
 enum
 {
   REPEATS = 3,
-  KINDS = 2,
+  ROUTES = 2,
 };
 
 typedef struct
@@ -23,10 +23,11 @@
 
 static const Scenario scenarios[] = {
   { "calm", { SITE } },
-  { "a sixth slow", { SITE, .faults = { { SIM_FAULT_SLOW, 0, 29, 6, 3000, 0, 8 } } } },
-  { "a dark shard", { SITE, .faults = { { SIM_FAULT_UNRESPONSIVE, 0, 2, 1, 3000, 0, 0 } } } },
-  { "a third shed", { SITE, .faults = { { SIM_FAULT_SHEDS, 0, 29, 3, 3000, 0, 0.45 } } } },
-  { "a needed shard over full",
+  { "1/6 of targets slow", { SITE, .faults = { { SIM_FAULT_SLOW, 0, 29, 6, 3000, 0, 8 } } } },
+  { "a shard unresponsive",
+    { SITE, .faults = { { SIM_FAULT_UNRESPONSIVE, 0, 2, 1, 3000, 0, 0 } } } },
+  { "1/3 of targets shed", { SITE, .faults = { { SIM_FAULT_SHEDS, 0, 29, 3, 3000, 0, 0.45 } } } },
+  { "required shard overloaded",
     { HIGH_COVERAGE_SITE_WITH_RATES (177, 59),
       .faults = { { SIM_FAULT_REMOVED, 0, 1, 1, 1000, 0, 0 } } } },
   { "three times the load", { SITE_WITH_RATES (447, 144) } },
@@ -34,29 +35,29 @@
 
 typedef enum
 {
-  OURS,
-  WAIT_FOR_ALL,
-  NO_SECOND_SENDS,
+  DEFAULT_POLICY,
+  WAIT_FOR_ALL_SHARDS,
+  NO_RESENDS,
   NEAREST_ONLY,
-  VARIANTS,
+  VARIANT_COUNT,
 } Variant;
 
-static const char *const variant_names[VARIANTS] = {
-  [OURS] = "ours",
-  [WAIT_FOR_ALL] = "wait for all shards",
-  [NO_SECOND_SENDS] = "no second sends",
-  [NEAREST_ONLY] = "nearest domain always",
+static const char *const variant_names[VARIANT_COUNT] = {
+  [DEFAULT_POLICY] = "default policy",
+  [WAIT_FOR_ALL_SHARDS] = "wait for all shards",
+  [NO_RESENDS] = "no resends",
+  [NEAREST_ONLY] = "always nearest domain",
 };
 
 static void
-S_vary (SimPlan *plan, Variant variant, MrRelayPolicy *policy)
+S_apply_variant (SimPlan *plan, Variant variant, MrRelayPolicy *policy)
 {
   *policy = mr_relay_policy;
   plan->policy = policy;
-  if (variant == WAIT_FOR_ALL)
-    for (guint i = 0; i < KINDS; i++)
+  if (variant == WAIT_FOR_ALL_SHARDS)
+    for (guint i = 0; i < ROUTES; i++)
       plan->routes[i].min_coverage = 1;
-  if (variant == NO_SECOND_SENDS)
+  if (variant == NO_RESENDS)
     plan->attempts = 1;
   if (variant == NEAREST_ONLY)
     policy->cross_domain_cost = 1e9;
@@ -65,51 +66,53 @@
 typedef struct
 {
   double mean;
-  double least;
-  double most;
-} Spread;
+  double minimum;
+  double maximum;
+} Summary;
 
 static void
-S_add (Spread *spread, guint repeat, double value)
+S_add_sample (Summary *spread, guint repeat, double value)
 {
   spread->mean += value / REPEATS;
-  spread->least = repeat == 0 ? value : MIN (spread->least, value);
-  spread->most = repeat == 0 ? value : MAX (spread->most, value);
+  spread->minimum = repeat == 0 ? value : MIN (spread->minimum, value);
+  spread->maximum = repeat == 0 ? value : MAX (spread->maximum, value);
 }
 
 static void
-S_row (const Scenario *scenario, Variant variant)
+S_run_scenario (const Scenario *scenario, Variant variant)
 {
-  Spread credit[KINDS] = { { 0 } };
-  Spread refused = { 0 };
-  Spread extra = { 0 };
-  Spread far = { 0 };
+  Summary utility[ROUTES] = { { 0 } };
+  Summary refused = { 0 };
+  Summary extra = { 0 };
+  Summary cross_domain = { 0 };
   for (guint repeat = 0; repeat < REPEATS; repeat++)
     {
       SimPlan plan = scenario->plan;
       SimResult result;
       MrRelayPolicy policy;
-      S_vary (&plan, variant, &policy);
+      S_apply_variant (&plan, variant, &policy);
       plan.seed += repeat;
       sim_run (&plan, &result);
-      guint asked = 0;
-      guint turned_away = 0;
-      for (guint k = 0; k < KINDS; k++)
+      guint requests = 0;
+      guint refused_count = 0;
+      for (guint k = 0; k < ROUTES; k++)
         {
           const SimRouteStats *kind = &result.routes[k];
-          S_add (&credit[k], repeat, kind->utility / MAX (kind->requests, 1));
-          asked += kind->requests;
-          turned_away += kind->refused;
+          S_add_sample (&utility[k], repeat, kind->utility / MAX (kind->requests, 1));
+          requests += kind->requests;
+          refused_count += kind->refused;
         }
-      double first = (double) MAX (result.first_calls, 1);
-      S_add (&refused, repeat, (double) turned_away / MAX (asked, 1));
-      S_add (&extra, repeat, (double) result.extra_calls / first);
-      S_add (&far, repeat,
-             (double) result.cross_domain_calls / (first + (double) result.extra_calls));
+      double first_calls = (double) MAX (result.first_calls, 1);
+      S_add_sample (&refused, repeat, (double) refused_count / MAX (requests, 1));
+      S_add_sample (&extra, repeat, (double) result.extra_calls / first_calls);
+      S_add_sample (&cross_domain, repeat,
+                    (double) result.cross_domain_calls /
+                        (first_calls + (double) result.extra_calls));
     }
   printf ("%-25s %-22s %5.3f [%5.3f %5.3f] %5.3f [%5.3f %5.3f] %7.3f %6.3f %6.3f\n", scenario->name,
-          variant_names[variant], credit[0].mean, credit[0].least, credit[0].most, credit[1].mean,
-          credit[1].least, credit[1].most, refused.mean, extra.mean, far.mean);
+          variant_names[variant], utility[0].mean, utility[0].minimum, utility[0].maximum,
+          utility[1].mean, utility[1].minimum, utility[1].maximum, refused.mean, extra.mean,
+          cross_domain.mean);
 }
 
 int
@@ -117,10 +120,10 @@
 {
   mr_log_set_level (MR_LOG_ERROR);
   setvbuf (stdout, NULL, _IOLBF, 0);
-  printf ("%-25s %-22s %-19s %-19s %7s %6s %6s\n", "scenario", "policy", "credit, wide",
-          "credit, short", "refused", "extra", "far");
+  printf ("%-25s %-22s %-19s %-19s %7s %6s %6s\n", "scenario", "policy", "utility, wide",
+          "utility, short", "refused", "extra", "cross");
   for (gsize i = 0; i < G_N_ELEMENTS (scenarios); i++)
-    for (int variant = 0; variant < VARIANTS; variant++)
-      S_row (&scenarios[i], (Variant) variant);
+    for (int variant = 0; variant < VARIANT_COUNT; variant++)
+      S_run_scenario (&scenarios[i], (Variant) variant);
   return EXIT_SUCCESS;
 }
--- a/bench/slopes.sh
+++ b/bench/slopes.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# make slopes: what one daemon costs, on real processes over loopback, and what
-# control costs by size of the fleet.  The figures of docs/CAPACITY.md.
+# make slopes: measures the cost of a daemon with real processes on loopback, and that of
+# control traffic by fleet size.  These are the figures of docs/CAPACITY.md.
 set -u
 BUILD=$1
 . "$(dirname "$0")/../demo/lib.sh"
@@ -9,7 +9,7 @@
 WIDE=300
 TICKS=$(getconf CLK_TCK)
 
-cpu() { # of all daemons, in ticks
+cpu() { # CPU time of all daemons, in clock ticks
   local name sum=0
   for name in d1 d2 d3; do
     sum=$((sum + $(awk '{print $14 + $15}' "/proc/${PIDS[$name]}/stat")))
@@ -17,7 +17,7 @@
   echo $sum
 }
 
-metric() { # NAME, summed over the daemons
+metric() { # NAME: the sum over all daemons
   local i sum=0
   for i in 1 2 3; do
     sum=$((sum + $(http "http://127.0.0.1:$((HTTP_BASE + i))/metrics" | awk -v m="merlinring_$1_total" '$1 == m {print $2}')))
@@ -27,7 +27,7 @@
 
 rss() { awk '/VmRSS/ {print $2}' "/proc/${PIDS[$1]}/status"; }
 
-instructions() { # SECONDS: of all daemons, user space; empty where not counted
+instructions() { # SECONDS: user-space instructions of all daemons; empty if unavailable
   perf stat -x, -e instructions:u -p "${PIDS[d1]},${PIDS[d2]},${PIDS[d3]}" sleep "$1" 2>&1 |
     awk -F, '/instructions/ && $1 + 0 > 0 {print $1}'
 }
@@ -44,20 +44,20 @@
   count=$(cat "$LOGS/instructions")
   say "$1: $(cat "$LOGS/load.txt")"
   awk -v l="$1" -v t=$ticks -v hz="$TICKS" -v c=$calls -v s=$searches -v i="${count:-0}" 'BEGIN {
-    printf "%s: CPU %.1f us a shard call, %.0f us a query of %.1f calls", l, t / hz * 1e6 / c, t / hz * 1e6 / s, c / s
-    if (i > 0) printf ", %.0f instructions a shard call", i / c
+    printf "%s: CPU %.1f us per shard call, %.0f us per query of %.1f calls", l, t / hz * 1e6 / c, t / hz * 1e6 / s, c / s
+    if (i > 0) printf ", %.0f instructions per shard call", i / c
     print "" }'
 }
 
 start_system
-sleep 3 # the idle figures are of a settled system
+sleep 3 # waits until the system is idle
 cpu0=$(cpu); bytes0=$(metric peer_control_bytes); calls0=$(metric platform_calls)
-sleep 10 # the span measured
+sleep 10 # measurement interval
 awk -v t=$(($(cpu) - cpu0)) -v hz="$TICKS" -v b=$(($(metric peer_control_bytes) - bytes0)) \
   -v p=$(($(metric platform_calls) - calls0)) 'BEGIN {
   printf "idle, each of 3 daemons: %.2f %% of a core, %.0f control bytes/s, %.2f platform calls/s\n", t / hz * 10 / 3, b / 30, p / 30 }'
 say "memory of a daemon, idle: $(rss d1) kB"
-for rate in 50 150; do measure "today, $rate/s" shop-search $rate 5; done
+for rate in 50 150; do measure "shop-search, $rate/s" shop-search $rate 5; done
 say "memory of a daemon, after load: $(rss d1) kB"
 
 SHARDS=$WIDE RECORDS=6000
