--- a/test/platform/prop_store.cpp
+++ b/test/platform/prop_store.cpp
@@ -1,5 +1,5 @@
-// Pages of targets that others write to as well: whatever stands beside them, all
-// good entries are read, and nothing else names a target.
+// Other programs write to the pages of targets as well: all valid entries of a page must be
+// decoded whatever the other ones contain, and no other entry may become a target.
 
 #include "../core.hpp"
 
@@ -15,7 +15,7 @@
 {
 
 std::string
-good_entry (int number)
+valid_entry (int number)
 {
   return "{\"meta\":{\"name\":\"i-" + std::to_string (number) +
          "\",\"revision\":" + std::to_string (number + 1) +
@@ -25,33 +25,33 @@
 }
 
 std::string
-bytes ()
+random_bytes ()
 {
   const auto byte = rc::gen::oneOf (rc::gen::arbitrary<char> (),
                                     rc::gen::elementOf (std::string ("{}[]\",:\\ met0")));
   return *rc::gen::container<std::string> (byte);
 }
 
-// A value of any shape, where a field of a good entry would stand.
+// A JSON value of any type, to replace the value of a field.
 std::string
-shape ()
+any_value ()
 {
   return *rc::gen::elementOf (std::vector<std::string>{
       "null", "true", "-1", "1e9", "0.5", "\"\"", "\"x\"", "[]", "{}", "[[]]", "{\"a\":[1]}" });
 }
 
-// A good entry with one field gone, of another type, or cut somewhere.
+// A valid entry with the value of one field replaced.
 std::string
-spoiled_entry ()
+invalid_entry ()
 {
   static const char *const fields[] = { "\"service\":\"s\"", "\"address\":\"10.0.0.1:80\"",
                                         "\"zone\":\"z\"",    "\"version\":\"v1\"",
                                         "\"slots\":5",       "\"state\":\"ready\"",
                                         "\"seq\":1",         "\"warmup_left_ms\":0" };
-  std::string entry = good_entry (900);
+  std::string entry = valid_entry (900);
   std::string field = fields[*rc::gen::inRange (0, 8)];
   std::string name = field.substr (0, field.find (':') + 1);
-  entry.replace (entry.find (field), field.size (), name + shape ());
+  entry.replace (entry.find (field), field.size (), name + any_value ());
   return entry;
 }
 
@@ -61,14 +61,14 @@
   switch (*rc::gen::inRange (0, 4))
     {
     case 0:
-      return bytes ();
+      return random_bytes ();
     case 1:
-      return spoiled_entry ();
+      return invalid_entry ();
     case 2:
-      return "{\"meta\":{\"name\":\"x\",\"revision\":3},\"spec\":" + bytes () + "}";
+      return "{\"meta\":{\"name\":\"x\",\"revision\":3},\"spec\":" + random_bytes () + "}";
     default:
       {
-        std::string cut = good_entry (901);
+        std::string cut = valid_entry (901);
         cut.resize (*rc::gen::inRange<size_t> (0, cut.size ()));
         return cut;
       }
@@ -84,35 +84,35 @@
   return result;
 }
 
-// The good entries of a page with others among them.
+// All valid entries of a page with other entries among them are decoded.
 void
-read_mixed_page ()
+decode_mixed_page ()
 {
   std::string page;
-  int good = *rc::gen::inRange (0, 6);
+  int valid = *rc::gen::inRange (0, 6);
   int others = *rc::gen::inRange (0, 4);
-  for (int i = 0; i < good; i++)
-    page += (page.empty () ? "" : ",") + good_entry (i);
+  for (int i = 0; i < valid; i++)
+    page += (page.empty () ? "" : ",") + valid_entry (i);
   for (int i = 0; i < others; i++)
     page = *rc::gen::arbitrary<bool> () ? page + (page.empty () ? "" : ",") + any_entry ()
                                         : any_entry () + (page.empty () ? "" : ",") + page;
   MrPlatformResult *result =
       read ("{\"items\":[" + page + "],\"has_more\":false,\"store_revision\":12}");
   RC_ASSERT (result->status == MR_OK);
-  std::set<std::string> named;
+  std::set<std::string> decoded;
   for (guint i = 0; i < result->objects->len; i++)
     {
       auto *object = static_cast<MrPlatformObject *> (g_ptr_array_index (result->objects, i));
       MrTargetRecord *record =
           mr_target_record_parse (mr_text (object->name), mr_text_of (object->body));
       if (record)
-        named.insert (object->name);
+        decoded.insert (object->name);
       mr_target_record_unref (record);
     }
-  for (int i = 0; i < good; i++)
-    RC_ASSERT (named.erase ("i-" + std::to_string (i)) == 1);
-  for (const std::string &name : named)
-    RC_ASSERT (name == "i-900"); // spoiled by a value of the right type
+  for (int i = 0; i < valid; i++)
+    RC_ASSERT (decoded.erase ("i-" + std::to_string (i)) == 1);
+  for (const std::string &name : decoded)
+    RC_ASSERT (name == "i-900"); // the replaced value has the right type
   mr_message_free (&result->base);
 }
 
@@ -130,11 +130,10 @@
   return text;
 }
 
-// Two daemons hear of one target's entries, each of some and in an order of its
-// own, then of each other.  Says what they end with if it is not the same, or not
-// the newest start that either has heard of.
+// Two daemons receive some of the entries of one target and then exchange what they have.
+// Returns a message if neither has the newest process start that either has received.
 std::string
-disagree (guint32 seed)
+exchange_entries (guint32 seed)
 {
   GRand *random = g_rand_new_with_seed (seed);
   MrRegistry *daemons[2] = { mr_registry_new (), mr_registry_new () };
@@ -160,17 +159,17 @@
         mr_registry_offer (daemons[1 - from], MR_OBJECT_TARGET, MR_TEXT ("i-1"), object->version,
                            mr_text (body));
       }
-  std::string broken;
+  std::string failure;
   guint64 held[2];
   for (int i = 0; i < 2; i++)
     held[i] = mr_target_record_start_time (
         mr_text_of (mr_registry_get (daemons[i], MR_OBJECT_TARGET, "i-1")->body));
   if (std::max (held[0], held[1]) != newest)
-    broken = "the newest start is lost";
+    failure = "the entry of the newest start is lost";
   mr_registry_free (daemons[0]);
   mr_registry_free (daemons[1]);
   g_rand_free (random);
-  return broken;
+  return failure;
 }
 
 } // namespace
@@ -179,15 +178,15 @@
 main ()
 {
   mr_log_set_level (MR_LOG_ERROR);
-  bool ok = rc::check ("good entries are read beside any others", read_mixed_page);
+  bool ok = rc::check ("valid entries are decoded whatever the others contain", decode_mixed_page);
   for (guint32 seed = 1; seed <= 2000; seed++)
     {
-      std::string broken = disagree (seed);
-      if (broken.empty ())
+      std::string failure = exchange_entries (seed);
+      if (failure.empty ())
         continue;
-      std::printf ("schedule %u: %s\n", seed, broken.c_str ());
+      std::printf ("schedule %u: %s\n", seed, failure.c_str ());
       ok = false;
     }
-  ok = fails_without ("the newer start wins", MR_GUARD_INCARNATION, 100, disagree) && ok;
+  ok = fails_without ("the newer start wins", MR_GUARD_INCARNATION, 100, exchange_entries) && ok;
   return ok ? 0 : 1;
 }
--- a/test/platform/standin.c
+++ b/test/platform/standin.c
@@ -1,14 +1,17 @@
-/* Stand-ins of the users' platform for tests: `standin store PORT` and
+/* Stand-ins for the users' platform in tests: `standin store PORT` and
  * `standin searcher PORT ID`.
  *
- * The store keeps objects by kind and name in memory, lists them in pages and
- * answers watches.  PUT /raw/KIND/NAME stores bytes as they are, JSON or not, as
- * another writer may.  A searcher answers every request with its signature and the
- * caller's id; its process ends some moments after it has begun a request whose path
- * has "crash" in it, unless the connection closes first.  With "crash-late" that
- * connection closes some moments before the listener, as when a process ends on a busy
- * machine.  Both take faults: PUT /mode/NAME; "slow" and "error" of the store are those of
- * listings of quarantines alone; with "shed" it answers listings of configurations alone. */
+ * The store keeps objects by kind and name in memory, lists them in pages and serves
+ * watches.  PUT /raw/KIND/NAME stores arbitrary bytes, as another writer could.
+ *
+ * A searcher responds to every request with its signature and the caller's request id.  It
+ * exits CRASH_DELAY after it has started a request whose path contains "crash", unless the
+ * connection closes first.  With "crash-late" the connection closes
+ * LISTENER_CLOSE_DELAY current the listener, as can happen on a busy machine.
+ *
+ * PUT /mode/NAME sets a fault of either.  For the store, "slow" and "error" affect only
+ * listings of quarantines, and "shed" leaves all reads but those of configurations
+ * without a response. */
 
 #include "http_message.h"
 #include "log.h"
@@ -27,32 +30,32 @@
   RECORDS = 8,
   EXIT_USAGE = 2,
   HUGE_BYTES = 64 * 1024 * 1024,
-  HUGE_PIECE = 16 * 1024 * 1024,
+  HUGE_SENT_BYTES = 16 * 1024 * 1024,
 };
 
-/* From the begin of a request that ends its searcher to that end. */
-static const MrTime CRASH_AFTER = 40 * MR_MS;
-/* From the end of its connection to that of its listener, where that is late: as long as
- * was seen on a busy machine. */
-static const MrTime LISTENS_ON = 6 * MR_MS;
-static const MrTime SLOW = 300 * MR_MS;
+/* Time from the start of a crashing request to the exit of the searcher. */
+static const MrTime CRASH_DELAY = 40 * MR_MS;
+/* Time from the end of the connection to the end of the listener for "crash-late", as
+ * observed on a busy machine. */
+static const MrTime LISTENER_CLOSE_DELAY = 6 * MR_MS;
+static const MrTime SLOW_DELAY = 300 * MR_MS;
 
 typedef enum
 {
   MODE_OK,
-  MODE_DOWN,   /* 503 */
-  MODE_SILENT, /* reads and never answers */
-  MODE_GONE,   /* the store has lost its history: 410 */
-  MODE_SHED,   /* not run */
-  MODE_CUT,    /* half of the answer, then the connection ends */
-  MODE_RESET,  /* runs, and the connection is reset */
-  MODE_EXTRA,  /* the answer to the request before follows each answer */
-  MODE_SLOW,   /* late by SLOW */
-  MODE_LATE,   /* the answer to the request before goes ahead of each answer */
-  MODE_ERROR,  /* 500, with a signature */
-  MODE_BUSY,   /* runs, then 503 with a signature and no word of not having run */
-  MODE_HUGE,   /* an answer of HUGE_BYTES */
-  MODE_DRIP,   /* the head of an answer, then a byte each 50 ms */
+  MODE_DOWN,   /* responds 503 */
+  MODE_SILENT, /* reads requests and never responds */
+  MODE_GONE,   /* the store has lost its history and responds 410 */
+  MODE_SHED,   /* refuses requests, which do not run */
+  MODE_CUT,    /* sends half of the response, then closes the connection */
+  MODE_RESET,  /* runs the request, then closes the connection without a response */
+  MODE_EXTRA,  /* repeats the previous response after each response */
+  MODE_SLOW,   /* responds after SLOW_DELAY */
+  MODE_LATE,   /* repeats the previous response current each response */
+  MODE_ERROR,  /* responds 500 with a signature */
+  MODE_BUSY,   /* runs, then responds 503 with a signature and without X-Not-Executed */
+  MODE_HUGE,   /* announces a response of HUGE_BYTES */
+  MODE_DRIP,   /* sends the header of a response, then a byte every 50 ms */
   MODE_COUNT,
 } Mode;
 
@@ -64,87 +67,87 @@
 
 typedef struct
 {
-  MrStreamHandler host;
+  MrStreamHandler handler;
   Server *server;
   MrStream *stream;
   MrHttpParser *parser;
-  char *last_id; /* of the request answered before */
-  MrTimer timer; /* of an answer that waits */
+  char *last_id; /* id of the previous request */
+  MrTimer timer; /* of a delayed response */
   gboolean dripping;
-  gboolean crashing; /* the process ends with the timer */
-  gboolean late;     /* and its listener after this connection */
-  char *kind;        /* of a watch or a listing that waits */
+  gboolean crashing;             /* the process exits when the timer is due */
+  gboolean closes_listener_late; /* closes this connection current the listener */
+  char *kind;                    /* of a pending watch or listing */
   gboolean listing;
   gint64 since;
-} Peer;
+} Connection;
 
 struct Server
 {
-  MrLoopHandler host;
+  MrLoopHandler handler;
   MrLoop *loop;
   MrTimers *timers;
-  const char *id; /* of a searcher; NULL: the store */
+  const char *id; /* of the searcher; NULL: this is the store */
   Mode mode;
   gint64 revision;
   json_t *kinds;      /* kind -> name -> object */
   json_t *changes;    /* [{kind, revision, deleted, object}] */
   GHashTable *runs;   /* request id -> count */
-  GPtrArray *watches; /* Peer that waits for a change */
+  GPtrArray *watches; /* Connection with a pending watch */
 };
 
 static void
-S_send (Peer *peer, int status, const char *fields, MrText body)
+S_send (Connection *connection, int status, const char *fields, MrText body)
 {
   g_autoptr (GString) out = g_string_new (NULL);
   g_string_append_printf (out, "HTTP/1.1 %d X\r\n%sContent-Length: %zu\r\n\r\n", status, fields,
                           body.len);
   g_string_append_len (out, body.data, (gssize) body.len);
-  mr_stream_write (peer->stream, mr_text_of (out));
+  mr_stream_write (connection->stream, mr_text_of (out));
 }
 
-/* Content that is no JSON is kept as text behind this mark, in base 64. */
-static const char raw_mark[] = "\"@raw:";
+/* Raw bytes are kept as a JSON string in base64 with this prefix. */
+static const char raw_prefix[] = "\"@raw:";
 
-/* @text with the content that is no JSON put in. */
+/* Returns @text with the encoded strings replaced by the raw bytes. */
 static GString *
-S_with_raw (const char *text)
+S_expand_raw (const char *text)
 {
   GString *out = g_string_new (NULL);
-  for (const char *at = strstr (text, raw_mark); at; at = strstr (text, raw_mark))
+  for (const char *at = strstr (text, raw_prefix); at; at = strstr (text, raw_prefix))
     {
-      const char *begin = at + strlen (raw_mark);
-      gsize len = strcspn (begin, "\"");
-      g_autofree char *encoded = g_strndup (begin, len);
+      const char *start = at + strlen (raw_prefix);
+      gsize len = strcspn (start, "\"");
+      g_autofree char *encoded = g_strndup (start, len);
       gsize count = 0;
       g_autofree guchar *bytes = g_base64_decode (encoded, &count);
       g_string_append_len (out, text, at - text);
       g_string_append_len (out, (const char *) bytes, (gssize) count);
-      text = begin + len + 1;
+      text = start + len + 1;
     }
   return g_string_append (out, text);
 }
 
 static void
-S_send_json (Peer *peer, int status, json_t *body)
+S_send_json (Connection *connection, int status, json_t *body)
 {
   char *text = json_dumps (body, JSON_COMPACT);
-  g_autoptr (GString) out = S_with_raw (text);
-  S_send (peer, status, "Content-Type: application/json\r\n", mr_text_of (out));
+  g_autoptr (GString) out = S_expand_raw (text);
+  S_send (connection, status, "Content-Type: application/json\r\n", mr_text_of (out));
   free (text);
   json_decref (body);
 }
 
 static json_t *
-S_raw (MrText bytes)
+S_wrap_raw (MrText bytes)
 {
   g_autofree char *encoded = g_base64_encode ((const guchar *) bytes.data, bytes.len);
-  return json_sprintf ("%s%s", raw_mark + 1, encoded);
+  return json_sprintf ("%s%s", raw_prefix + 1, encoded);
 }
 
-/* The store. */
+/* Store. */
 
 static json_t *
-S_kind (Server *server, const char *kind)
+S_objects_of_kind (Server *server, const char *kind)
 {
   json_t *objects = json_object_get (server->kinds, kind);
   if (objects)
@@ -172,29 +175,30 @@
 }
 
 static gboolean
-S_answer_watch (Peer *peer, gboolean even_if_empty)
+S_respond_to_watch (Connection *connection, gboolean even_if_empty)
 {
-  json_t *events = S_events (peer->server, peer->kind, peer->since);
+  json_t *events = S_events (connection->server, connection->kind, connection->since);
   if (json_array_size (events) == 0 && !even_if_empty)
     {
       json_decref (events);
       return FALSE;
     }
-  mr_timers_set (peer->server->timers, &peer->timer, MR_NEVER);
-  g_ptr_array_remove (peer->server->watches, peer);
-  S_send_json (peer, 200,
+  mr_timers_set (connection->server->timers, &connection->timer, MR_NEVER);
+  g_ptr_array_remove (connection->server->watches, connection);
+  S_send_json (connection, 200,
                json_pack ("{s:o,s:I}", "events", events, "store_revision",
-                          (json_int_t) peer->server->revision));
+                          (json_int_t) connection->server->revision));
   return TRUE;
 }
 
 static void
-S_change (Server *server, const char *kind, const char *name, json_t *spec)
+S_apply_change (Server *server, const char *kind, const char *name, json_t *spec)
 {
-  json_t *objects = S_kind (server, kind);
-  json_t *before = json_object_get (objects, name);
+  json_t *objects = S_objects_of_kind (server, kind);
+  json_t *current = json_object_get (objects, name);
   gint64 revision = ++server->revision;
-  gint64 last = json_integer_value (json_object_get (json_object_get (before, "meta"), "revision"));
+  gint64 last =
+      json_integer_value (json_object_get (json_object_get (current, "meta"), "revision"));
   json_t *object =
       json_pack ("{s:{s:s,s:I},s:o}", "meta", "name", name, "revision",
                  (json_int_t) (spec ? revision : last), "spec", spec ? spec : json_null ());
@@ -207,19 +211,19 @@
     json_object_del (objects, name);
   json_decref (object);
   for (guint i = server->watches->len; i > 0; i--)
-    S_answer_watch (g_ptr_array_index (server->watches, i - 1), FALSE);
+    S_respond_to_watch (g_ptr_array_index (server->watches, i - 1), FALSE);
 }
 
 static int
-S_by_name (const void *a, const void *b)
+S_compare_names (const void *a, const void *b)
 {
   return strcmp (*(const char *const *) a, *(const char *const *) b);
 }
 
 static void
-S_list (Peer *peer, const char *kind, const char *after)
+S_list (Connection *connection, const char *kind, const char *after)
 {
-  json_t *objects = S_kind (peer->server, kind);
+  json_t *objects = S_objects_of_kind (connection->server, kind);
   g_autoptr (GPtrArray) names = g_ptr_array_new ();
   const char *name = NULL;
   json_t *object = NULL;
@@ -228,18 +232,18 @@
     if (strcmp (name, after) > 0)
       g_ptr_array_add (names, (gpointer) name);
   }
-  qsort (names->pdata, names->len, sizeof (gpointer), S_by_name);
+  qsort (names->pdata, names->len, sizeof (gpointer), S_compare_names);
   json_t *items = json_array ();
   for (guint i = 0; i < names->len && i < PAGE; i++)
     json_array_append (items, json_object_get (objects, g_ptr_array_index (names, i)));
-  S_send_json (peer, 200,
+  S_send_json (connection, 200,
                json_pack ("{s:o,s:b,s:I}", "items", items, "has_more", names->len > PAGE,
-                          "store_revision", (json_int_t) peer->server->revision));
+                          "store_revision", (json_int_t) connection->server->revision));
 }
 
-/* The value of @key in a query; empty if it is not there. */
+/* Returns the value of @key in a query; empty if it is absent. */
 static char *
-S_query (const char *target, const char *key)
+S_find_query_argument (const char *target, const char *key)
 {
   g_autofree char *start = g_strdup_printf ("%s=", key);
   const char *at = strchr (target, '?');
@@ -251,33 +255,33 @@
   return g_strndup (at, strcspn (at, "&"));
 }
 
-/* A write in the store's own form: POST creates, PUT replaces, under the condition that
- * its revision is the object's. */
+/* Handles a conditional write: POST creates an object; PUT replaces it if the given revision
+ * is the current one. */
 static void
-S_write_object (Peer *peer, const char *method, const char *kind, const json_t *body)
+S_write_object (Connection *connection, const char *method, const char *kind, const json_t *body)
 {
   const json_t *meta = json_object_get (body, "meta");
   const char *name = json_string_value (json_object_get (meta, "name"));
   const json_t *expected = json_object_get (meta, "revision");
-  json_t *objects = S_kind (peer->server, kind);
-  const json_t *before = json_object_get (objects, name);
+  json_t *objects = S_objects_of_kind (connection->server, kind);
+  const json_t *current = json_object_get (objects, name);
   gboolean create = g_str_equal (method, "POST");
-  if (!create && !before)
+  if (!create && !current)
     {
-      S_send (peer, 404, "", MR_TEXT ("{}"));
+      S_send (connection, 404, "", MR_TEXT ("{}"));
       return;
     }
-  const json_t *revision = json_object_get (json_object_get (before, "meta"), "revision");
-  gboolean conflict = create ? before != NULL : expected && !json_equal (expected, revision);
+  const json_t *revision = json_object_get (json_object_get (current, "meta"), "revision");
+  gboolean conflict = create ? current != NULL : expected && !json_equal (expected, revision);
   if (!conflict)
-    S_change (peer->server, kind, name, json_incref (json_object_get (body, "spec")));
-  S_send_json (peer, conflict ? 409 : 200, json_incref (json_object_get (objects, name)));
+    S_apply_change (connection->server, kind, name, json_incref (json_object_get (body, "spec")));
+  S_send_json (connection, conflict ? 409 : 200, json_incref (json_object_get (objects, name)));
 }
 
 static void
-S_on_store_request (Peer *peer, const char *method, const char *target)
+S_on_store_request (Connection *connection, const char *method, const char *target)
 {
-  Server *server = peer->server;
+  Server *server = connection->server;
   g_autofree char *path = g_strndup (target, strcspn (target, "?"));
   g_auto (GStrv) parts = g_strsplit (path, "/", -1); /* "", objects, kind, name */
   guint count = g_strv_length (parts);
@@ -285,72 +289,72 @@
     return;
   if (server->mode == MODE_DOWN && g_str_equal (method, "GET"))
     {
-      S_send (peer, 503, "", (MrText){ 0 });
+      S_send (connection, 503, "", (MrText){ 0 });
       return;
     }
   if (!g_str_equal (method, "GET"))
     {
-      MrText body = mr_http_parser_body (peer->parser);
+      MrText body = mr_http_parser_body (connection->parser);
       json_t *spec = NULL;
       json_t *object = json_loadb (body.data ? body.data : "", body.len, 0, NULL);
       if (json_object_get (object, "meta"))
         {
           if (server->mode != MODE_SILENT)
-            S_write_object (peer, method, parts[2], object);
+            S_write_object (connection, method, parts[2], object);
           json_decref (object);
           return;
         }
       json_decref (object);
       if (g_str_equal (parts[1], "raw"))
-        spec = S_raw (body);
+        spec = S_wrap_raw (body);
       else if (g_str_equal (method, "PUT"))
         spec = json_loadb (body.data, body.len, 0, NULL);
-      S_change (server, parts[2], parts[3], spec);
-      S_send (peer, 200, "", MR_TEXT ("{}"));
+      S_apply_change (server, parts[2], parts[3], spec);
+      S_send (connection, 200, "", MR_TEXT ("{}"));
       return;
     }
-  g_autofree char *watch = S_query (target, "watch");
-  g_autofree char *wait = S_query (target, "wait_ms");
-  g_autofree char *after = S_query (target, "after");
+  g_autofree char *watch = S_find_query_argument (target, "watch");
+  g_autofree char *wait = S_find_query_argument (target, "wait_ms");
+  g_autofree char *after = S_find_query_argument (target, "after");
   gboolean quarantines = g_str_equal (parts[2], "quarantine");
   if (server->mode == MODE_SHED && !g_str_equal (parts[2], "config"))
     return;
   if (*watch == '\0' && quarantines && server->mode == MODE_ERROR)
     {
-      S_send (peer, 503, "", (MrText){ 0 });
+      S_send (connection, 503, "", (MrText){ 0 });
       return;
     }
   if (*watch == '\0' && quarantines && server->mode == MODE_SLOW)
     {
-      g_free (peer->kind);
-      peer->kind = g_strdup (parts[2]);
-      peer->listing = TRUE;
-      mr_timers_set (server->timers, &peer->timer, mr_now () + SLOW);
+      g_free (connection->kind);
+      connection->kind = g_strdup (parts[2]);
+      connection->listing = TRUE;
+      mr_timers_set (server->timers, &connection->timer, mr_now () + SLOW_DELAY);
       return;
     }
   if (*watch == '\0')
     {
-      S_list (peer, parts[2], after);
+      S_list (connection, parts[2], after);
       return;
     }
   if (server->mode == MODE_GONE)
     {
       server->mode = MODE_OK;
-      S_send (peer, 410, "", (MrText){ 0 });
+      S_send (connection, 410, "", (MrText){ 0 });
       return;
     }
-  g_free (peer->kind);
-  peer->kind = g_strdup (parts[2]);
-  peer->since = atoll (watch);
-  g_ptr_array_add (server->watches, peer);
-  if (!S_answer_watch (peer, FALSE))
-    mr_timers_set (server->timers, &peer->timer, mr_now () + atoll (wait) * MR_MS);
+  g_free (connection->kind);
+  connection->kind = g_strdup (parts[2]);
+  connection->since = atoll (watch);
+  g_ptr_array_add (server->watches, connection);
+  if (!S_respond_to_watch (connection, FALSE))
+    mr_timers_set (server->timers, &connection->timer, mr_now () + atoll (wait) * MR_MS);
 }
 
-/* A searcher. */
+/* Searcher. */
 
 static guint
-S_note_run (Server *server, const char *id)
+S_count_run (Server *server, const char *id)
 {
   guint count = GPOINTER_TO_UINT (g_hash_table_lookup (server->runs, id)) + 1;
   g_hash_table_insert (server->runs, g_strdup (id), GUINT_TO_POINTER (count));
@@ -358,7 +362,7 @@
   return count;
 }
 
-/* Records that tell this searcher's from others, greatest last. */
+/* Returns records with this searcher's id, in ascending order. */
 static GString *
 S_records (const Server *server)
 {
@@ -371,13 +375,14 @@
   return body;
 }
 
-/* The answer to the request before, once more. */
+/* Sends a response to the previous request again. */
 static void
-S_repeat_last (Peer *peer)
+S_repeat_last_response (Connection *connection)
 {
-  g_autofree char *extra = g_strdup_printf ("X-Request-Id: %s\r\nX-Server-Stamp: %s.%s\r\n",
-                                            peer->last_id, peer->server->id, peer->last_id);
-  S_send (peer, 200, extra, MR_TEXT ("not yours"));
+  g_autofree char *extra =
+      g_strdup_printf ("X-Request-Id: %s\r\nX-Server-Stamp: %s.%s\r\n", connection->last_id,
+                       connection->server->id, connection->last_id);
+  S_send (connection, 200, extra, MR_TEXT ("not yours"));
 }
 
 static int
@@ -388,35 +393,36 @@
   return mode == MODE_ERROR ? 500 : 200;
 }
 
-/* An answer whose end never comes, or only after HUGE_BYTES. */
+/* Begins a response that does not complete in time: it announces HUGE_BYTES and sends
+ * HUGE_SENT_BYTES, or sends a byte every 50 ms. */
 static void
-S_begin_long (Peer *peer, const char *fields)
+S_begin_long_response (Connection *connection, const char *fields)
 {
   g_autofree char *head =
       g_strdup_printf ("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n", fields,
-                       peer->server->mode == MODE_HUGE ? HUGE_BYTES : 1000);
-  mr_stream_write (peer->stream, mr_text (head));
-  if (peer->server->mode == MODE_HUGE)
+                       connection->server->mode == MODE_HUGE ? HUGE_BYTES : 1000);
+  mr_stream_write (connection->stream, mr_text (head));
+  if (connection->server->mode == MODE_HUGE)
     {
-      g_autofree char *piece = g_malloc0 (HUGE_PIECE);
-      mr_stream_write (peer->stream, (MrText){ .data = piece, .len = HUGE_PIECE });
+      g_autofree char *piece = g_malloc0 (HUGE_SENT_BYTES);
+      mr_stream_write (connection->stream, (MrText){ .data = piece, .len = HUGE_SENT_BYTES });
       return;
     }
-  peer->dripping = TRUE;
-  mr_timers_set (peer->server->timers, &peer->timer, mr_now () + 50 * MR_MS);
+  connection->dripping = TRUE;
+  mr_timers_set (connection->server->timers, &connection->timer, mr_now () + 50 * MR_MS);
 }
 
 static void
-S_drip (Peer *peer)
+S_send_drip (Connection *connection)
 {
-  mr_stream_write (peer->stream, MR_TEXT ("."));
-  mr_timers_set (peer->server->timers, &peer->timer, mr_now () + 50 * MR_MS);
+  mr_stream_write (connection->stream, MR_TEXT ("."));
+  mr_timers_set (connection->server->timers, &connection->timer, mr_now () + 50 * MR_MS);
 }
 
 static void
-S_answer_run (Peer *peer, const char *id)
+S_send_response (Connection *connection, const char *id)
 {
-  Server *server = peer->server;
+  Server *server = connection->server;
   g_autofree char *fields = g_strdup_printf (
       "X-Request-Id: %s\r\nX-Server-Stamp: %s.%s\r\nKeep-Alive: timeout=5\r\n", id, server->id, id);
   g_autoptr (GString) body = S_records (server);
@@ -424,173 +430,173 @@
     {
       g_autofree char *half =
           g_strdup_printf ("HTTP/1.1 200 OK\r\n%sContent-Length: 1000\r\n\r\nx", fields);
-      mr_stream_write (peer->stream, mr_text (half));
-      mr_stream_close (peer->stream);
+      mr_stream_write (connection->stream, mr_text (half));
+      mr_stream_close (connection->stream);
       return;
     }
   if (server->mode == MODE_HUGE || server->mode == MODE_DRIP)
     {
-      S_begin_long (peer, fields);
+      S_begin_long_response (connection, fields);
       return;
     }
-  if (server->mode == MODE_LATE && peer->last_id)
-    S_repeat_last (peer);
-  S_send (peer, S_status (server->mode), fields, mr_text_of (body));
-  if (server->mode == MODE_EXTRA && peer->last_id)
-    S_repeat_last (peer);
+  if (server->mode == MODE_LATE && connection->last_id)
+    S_repeat_last_response (connection);
+  S_send (connection, S_status (server->mode), fields, mr_text_of (body));
+  if (server->mode == MODE_EXTRA && connection->last_id)
+    S_repeat_last_response (connection);
 }
 
 static void
-S_on_searcher_request (Peer *peer, const char *target)
+S_on_searcher_request (Connection *connection, const char *target)
 {
-  Server *server = peer->server;
-  MrText expected = mr_http_parser_find_field (peer->parser, "X-Expect-Instance", NULL);
+  Server *server = connection->server;
+  MrText expected = mr_http_parser_find_field (connection->parser, "X-Expect-Instance", NULL);
   g_autofree char *id =
-      mr_text_dup (mr_http_parser_find_field (peer->parser, "X-Request-Id", NULL));
+      mr_text_dup (mr_http_parser_find_field (connection->parser, "X-Request-Id", NULL));
   if (g_str_has_prefix (target, "/runs/"))
     {
       g_autofree char *count = g_strdup_printf (
           "%u\n", GPOINTER_TO_UINT (g_hash_table_lookup (server->runs, target + 6)));
-      S_send (peer, 200, "", mr_text (count));
+      S_send (connection, 200, "", mr_text (count));
       return;
     }
   if (server->mode == MODE_SILENT)
     return;
   if (expected.len > 0 && !mr_text_equal (expected, mr_text (server->id)))
     {
-      S_send (peer, 421, "", (MrText){ 0 });
+      S_send (connection, 421, "", (MrText){ 0 });
       return;
     }
   if (server->mode == MODE_SHED)
     {
-      S_send (peer, 503, "X-Not-Executed: 1\r\n", (MrText){ 0 });
+      S_send (connection, 503, "X-Not-Executed: 1\r\n", (MrText){ 0 });
       return;
     }
-  S_note_run (server, id);
+  S_count_run (server, id);
   if (strstr (target, "crash"))
     {
-      peer->crashing = TRUE;
-      peer->late = strstr (target, "crash-late") != NULL;
-      mr_timers_set (server->timers, &peer->timer, mr_now () + CRASH_AFTER);
+      connection->crashing = TRUE;
+      connection->closes_listener_late = strstr (target, "crash-late") != NULL;
+      mr_timers_set (server->timers, &connection->timer, mr_now () + CRASH_DELAY);
       return;
     }
   if (server->mode == MODE_RESET)
     {
-      mr_stream_close (peer->stream);
+      mr_stream_close (connection->stream);
       return;
     }
   if (server->mode == MODE_SLOW)
     {
-      g_free (peer->last_id);
-      peer->last_id = g_steal_pointer (&id);
-      mr_timers_set (server->timers, &peer->timer, mr_now () + SLOW);
+      g_free (connection->last_id);
+      connection->last_id = g_steal_pointer (&id);
+      mr_timers_set (server->timers, &connection->timer, mr_now () + SLOW_DELAY);
       return;
     }
-  S_answer_run (peer, id);
-  g_free (peer->last_id);
-  peer->last_id = g_steal_pointer (&id);
+  S_send_response (connection, id);
+  g_free (connection->last_id);
+  connection->last_id = g_steal_pointer (&id);
 }
 
-/* Both. */
+/* Common code. */
 
 static void
-S_on_request (Peer *peer)
+S_on_request (Connection *connection)
 {
-  g_autofree char *method = mr_text_dup (mr_http_parser_method (peer->parser));
-  g_autofree char *target = mr_text_dup (mr_http_parser_target (peer->parser));
+  g_autofree char *method = mr_text_dup (mr_http_parser_method (connection->parser));
+  g_autofree char *target = mr_text_dup (mr_http_parser_target (connection->parser));
   if (g_str_has_prefix (target, "/mode/"))
     {
       for (guint i = 0; i < MODE_COUNT; i++)
         if (g_str_equal (target + strlen ("/mode/"), mode_names[i]))
-          peer->server->mode = (Mode) i;
-      S_send (peer, 200, "", MR_TEXT ("{}"));
+          connection->server->mode = (Mode) i;
+      S_send (connection, 200, "", MR_TEXT ("{}"));
     }
-  else if (peer->server->id)
-    S_on_searcher_request (peer, target);
+  else if (connection->server->id)
+    S_on_searcher_request (connection, target);
   else
-    S_on_store_request (peer, method, target);
+    S_on_store_request (connection, method, target);
 }
 
 static void
-S_received (MrStreamHandler *host, MrStream *stream, MrText bytes)
+S_on_data (MrStreamHandler *handler, MrStream *stream, MrText bytes)
 {
-  Peer *peer = (Peer *) host;
+  Connection *connection = (Connection *) handler;
   (void) stream;
   while (bytes.len > 0)
     {
-      gsize used = mr_http_parser_feed (peer->parser, bytes);
+      gsize used = mr_http_parser_feed (connection->parser, bytes);
       bytes.data += used;
       bytes.len -= used;
-      if (mr_http_parser_state (peer->parser) != MR_HTTP_DONE)
+      if (mr_http_parser_state (connection->parser) != MR_HTTP_DONE)
         return;
-      S_on_request (peer);
-      mr_http_parser_reset (peer->parser);
+      S_on_request (connection);
+      mr_http_parser_reset (connection->parser);
     }
 }
 
 static void
-S_ended (MrStreamHandler *host, MrStream *stream, MrStreamEnd end)
+S_on_end (MrStreamHandler *handler, MrStream *stream, MrStreamEnd end)
 {
-  Peer *peer = (Peer *) host;
+  Connection *connection = (Connection *) handler;
   (void) stream;
   (void) end;
-  mr_timers_set (peer->server->timers, &peer->timer, MR_NEVER);
-  g_ptr_array_remove (peer->server->watches, peer);
-  mr_http_parser_free (peer->parser);
-  g_free (peer->last_id);
-  g_free (peer->kind);
-  g_free (peer);
+  mr_timers_set (connection->server->timers, &connection->timer, MR_NEVER);
+  g_ptr_array_remove (connection->server->watches, connection);
+  mr_http_parser_free (connection->parser);
+  g_free (connection->last_id);
+  g_free (connection->kind);
+  g_free (connection);
 }
 
 static void
-S_accepted (void *user, MrStream *stream)
+S_on_accept (void *user, MrStream *stream)
 {
-  Peer *peer = g_new0 (Peer, 1);
-  *peer = (Peer){
-    .host = { .on_data = S_received, .on_end = S_ended },
+  Connection *connection = g_new0 (Connection, 1);
+  *connection = (Connection){
+    .handler = { .on_data = S_on_data, .on_end = S_on_end },
     .server = user,
     .stream = stream,
     .parser = mr_http_parser_new (MR_HTTP_REQUEST),
   };
-  peer->timer.owner = peer;
-  mr_stream_set_handler (stream, &peer->host);
+  connection->timer.owner = connection;
+  mr_stream_set_handler (stream, &connection->handler);
 }
 
 static void
-S_answer_listing (Peer *peer)
+S_respond_to_listing (Connection *connection)
 {
-  peer->listing = FALSE;
-  S_list (peer, peer->kind, "");
+  connection->listing = FALSE;
+  S_list (connection, connection->kind, "");
 }
 
 static void
-S_crash (Peer *peer, MrTime now)
+S_crash (Connection *connection, MrTime now)
 {
-  if (!peer->late)
+  if (!connection->closes_listener_late)
     exit (EXIT_SUCCESS);
-  peer->late = FALSE;
-  mr_stream_close (peer->stream);
-  mr_timers_set (peer->server->timers, &peer->timer, now + LISTENS_ON);
+  connection->closes_listener_late = FALSE;
+  mr_stream_close (connection->stream);
+  mr_timers_set (connection->server->timers, &connection->timer, now + LISTENER_CLOSE_DELAY);
 }
 
 static MrTime
-S_on_tick (MrLoopHandler *host, MrTime now)
+S_on_tick (MrLoopHandler *handler, MrTime now)
 {
-  Server *server = (Server *) host;
+  Server *server = (Server *) handler;
   for (MrTimer *timer = mr_timers_pop (server->timers, now); timer;
        timer = mr_timers_pop (server->timers, now))
     {
-      Peer *peer = timer->owner;
-      if (peer->crashing)
-        S_crash (peer, now);
-      else if (peer->dripping)
-        S_drip (peer);
+      Connection *connection = timer->owner;
+      if (connection->crashing)
+        S_crash (connection, now);
+      else if (connection->dripping)
+        S_send_drip (connection);
       else if (server->id)
-        S_answer_run (peer, peer->last_id);
-      else if (peer->listing)
-        S_answer_listing (peer);
+        S_send_response (connection, connection->last_id);
+      else if (connection->listing)
+        S_respond_to_listing (connection);
       else
-        S_answer_watch (peer, TRUE);
+        S_respond_to_watch (connection, TRUE);
     }
   return mr_timers_next_due (server->timers);
 }
@@ -605,7 +611,7 @@
       return EXIT_USAGE;
     }
   Server server = {
-    .host = { .on_tick = S_on_tick },
+    .handler = { .on_tick = S_on_tick },
     .timers = mr_timers_new (),
     .id = searcher ? argv[3] : NULL,
     .kinds = json_object (),
@@ -615,9 +621,9 @@
   };
   signal (SIGPIPE, SIG_IGN);
   setvbuf (stdout, NULL, _IOLBF, 0);
-  server.loop = mr_loop_new (&server.host, 500);
+  server.loop = mr_loop_new (&server.handler, 500);
   if (!server.loop ||
-      !mr_listener_new (server.loop, "127.0.0.1", atoi (argv[2]), S_accepted, &server))
+      !mr_listener_new (server.loop, "127.0.0.1", atoi (argv[2]), S_on_accept, &server))
     {
       fprintf (stderr, "standin: %s\n", mr_status_message ());
       return EXIT_FAILURE;
--- a/test/platform/test_store.c
+++ b/test/platform/test_store.c
@@ -1,4 +1,4 @@
-/* The adapter of the users' store: what it asks and what it makes of answers. */
+/* The codec of the platform's store: request paths, and decoding of responses. */
 
 #include "adapter.h"
 
@@ -14,7 +14,7 @@
 #include <cmocka.h>
 
 static MrPlatformResult *
-S_read (const char *kind, guint64 since, int status, const char *body)
+S_decode (const char *kind, guint64 since, int status, const char *body)
 {
   MrPlatformRequest *request = mr_platform_request_new (MR_PLATFORM_LIST, kind, "");
   request->since_revision = since;
@@ -34,26 +34,26 @@
     }
 }
 
-#define SERVER(name, revision)                                                                     \
+#define TARGET_ENTRY(name, revision)                                                               \
   "{\"meta\":{\"name\":\"" name "\",\"revision\":" revision "},\"spec\":{\"service\":\"s\","       \
   "\"address\":\"10.0.0.1:80\",\"zone\":\"z\",\"version\":\"v1\",\"slots\":5,"                     \
   "\"state\":\"ready\",\"warmup_left_ms\":0,\"seq\":1}}"
 
-/* What callers see: a shard without a target for ten seconds.  A daemon that was
- * cut off reads old changes after it has learned newer ones from its peers: the
- * removal of an entry that lapsed, which has come back since.  Taken for newer
- * than the return, the removal would stand, and spread to the whole fleet. */
+/* Guards against a shard without a target for ten seconds.  A daemon that was partitioned
+ * reads old changes from the store after newer ones from its peers, among them the removal
+ * of an expired entry that has been listed again since.  If the removal were ordered after
+ * the new entry, it would win and be replicated to the whole fleet. */
 static void
-test_old_removal (void **state)
+test_stale_removal (void **state)
 {
   (void) state;
   MrRegistry *registry = mr_registry_new ();
-  MrPlatformResult *now = S_read ("targets", 300, 200,
-                                  "{\"store_revision\":336,\"events\":[{\"deleted\":false,"
-                                  "\"object\":" SERVER ("i-1", "336") "}]}");
-  MrPlatformResult *late = S_read ("targets", 200, 200,
-                                   "{\"store_revision\":386,\"events\":[{\"deleted\":true,"
-                                   "\"object\":" SERVER ("i-1", "250") "}]}");
+  MrPlatformResult *now = S_decode ("targets", 300, 200,
+                                    "{\"store_revision\":336,\"events\":[{\"deleted\":false,"
+                                    "\"object\":" TARGET_ENTRY ("i-1", "336") "}]}");
+  MrPlatformResult *late = S_decode ("targets", 200, 200,
+                                     "{\"store_revision\":386,\"events\":[{\"deleted\":true,"
+                                     "\"object\":" TARGET_ENTRY ("i-1", "250") "}]}");
   S_offer_all (registry, now);
   S_offer_all (registry, late);
   assert_true (mr_registry_get (registry, MR_OBJECT_TARGET, "i-1")->body->len > 0);
@@ -62,8 +62,8 @@
   mr_registry_free (registry);
 }
 
-/* Guards against an evacuation that is passed over for what its entry holds, or that an old
- * removal ends. */
+/* Guards against an evacuation that is ignored because of the contents of its entry, or that
+ * is ended by an old removal. */
 static void
 test_evacuations (void **state)
 {
@@ -85,7 +85,7 @@
     {
       g_autofree char *body =
           g_strdup_printf ("{\"store_revision\":9,\"events\":[%s]}", cases[i].body);
-      MrPlatformResult *result = S_read ("evacuations", 4, 200, body);
+      MrPlatformResult *result = S_decode ("evacuations", 4, 200, body);
       assert_int_equal (result->objects->len, 1);
       const MrPlatformObject *object = g_ptr_array_index (result->objects, 0);
       guint64 version = mr_evacuation_version (object->version, object->deleted);
@@ -100,14 +100,14 @@
 {
   (void) state;
   MrPlatformResult *result =
-      S_read ("targets", 200, 200,
-              "{\"store_revision\":251,\"events\":["
-              "{\"deleted\":false,\"object\":" SERVER (
-                  "i-1", "250") "},"
-                                "{\"deleted\":true,\"object\":" SERVER (
-                                    "i-1", "250") "},"
-                                                  "{\"deleted\":false,\"object\":" SERVER (
-                                                      "i-1", "251") "}]}");
+      S_decode ("targets", 200, 200,
+                "{\"store_revision\":251,\"events\":["
+                "{\"deleted\":false,\"object\":" TARGET_ENTRY (
+                    "i-1", "250") "},"
+                                  "{\"deleted\":true,\"object\":" TARGET_ENTRY (
+                                      "i-1", "250") "},"
+                                                    "{\"deleted\":false,\"object\":" TARGET_ENTRY (
+                                                        "i-1", "251") "}]}");
   assert_int_equal (result->objects->len, 3);
   guint64 before = 0;
   for (guint i = 0; i < result->objects->len; i++)
@@ -120,10 +120,10 @@
   mr_message_free (&result->base);
 }
 
-/* Entries by other writers: an entry names a target only if all that a target says
- * of itself is there, each of its type. */
+/* Other programs write entries as well: an entry describes a target only if it has all
+ * required fields with the right types. */
 static void
-test_entries (void **state)
+test_entry_validation (void **state)
 {
   static const struct
   {
@@ -131,47 +131,64 @@
     const char *spec;
     gboolean usable;
   } cases[] = {
-#define REST "\"zone\":\"z\",\"version\":\"v1\",\"warmup_left_ms\":0,\"seq\":1"
-#define ADDRESS "\"service\":\"s\",\"address\":\"10.0.0.1:80\","
-    { "whole", "{" ADDRESS REST ",\"slots\":5,\"state\":\"ready\"}", TRUE },
-    { "with a start", "{" ADDRESS REST ",\"slots\":5,\"state\":\"ready\",\"born\":1784833516001}",
+#define OTHER_FIELDS "\"zone\":\"z\",\"version\":\"v1\",\"warmup_left_ms\":0,\"seq\":1"
+#define SERVICE_AND_ADDRESS "\"service\":\"s\",\"address\":\"10.0.0.1:80\","
+    { "complete", "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":5,\"state\":\"ready\"}", TRUE },
+    { "with a start",
+      "{" SERVICE_AND_ADDRESS OTHER_FIELDS
+      ",\"slots\":5,\"state\":\"ready\",\"born\":1784833516001}",
       TRUE },
-    { "leaving", "{" ADDRESS REST ",\"slots\":5,\"state\":\"draining\"}", TRUE },
-    { "unknown field", "{" ADDRESS REST ",\"slots\":5,\"state\":\"ready\",\"x\":[1]}", TRUE },
-    { "unknown state", "{" ADDRESS REST ",\"slots\":5,\"state\":\"asleep\"}", FALSE },
-    { "state of another type", "{" ADDRESS REST ",\"slots\":5,\"state\":1}", FALSE },
-    { "no state", "{" ADDRESS REST ",\"slots\":5}", FALSE },
-    { "no slots", "{" ADDRESS REST ",\"state\":\"ready\"}", FALSE },
-    { "slots as text", "{" ADDRESS REST ",\"slots\":\"5\",\"state\":\"ready\"}", FALSE },
-    { "slots as a fraction", "{" ADDRESS REST ",\"slots\":5.5,\"state\":\"ready\"}", FALSE },
-    { "slots null", "{" ADDRESS REST ",\"slots\":null,\"state\":\"ready\"}", FALSE },
-    { "no slot", "{" ADDRESS REST ",\"slots\":0,\"state\":\"ready\"}", FALSE },
-    { "no service", "{\"address\":\"10.0.0.1:80\"," REST ",\"slots\":5,\"state\":\"ready\"}",
+    { "leaving", "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":5,\"state\":\"draining\"}",
+      TRUE },
+    { "unknown field",
+      "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":5,\"state\":\"ready\",\"x\":[1]}", TRUE },
+    { "unknown state", "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":5,\"state\":\"asleep\"}",
+      FALSE },
+    { "state of another type", "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":5,\"state\":1}",
+      FALSE },
+    { "no state", "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":5}", FALSE },
+    { "no slots", "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"state\":\"ready\"}", FALSE },
+    { "slots as text", "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":\"5\",\"state\":\"ready\"}",
+      FALSE },
+    { "slots as a fraction",
+      "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":5.5,\"state\":\"ready\"}", FALSE },
+    { "slots null", "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":null,\"state\":\"ready\"}",
       FALSE },
-    { "no address", "{\"service\":\"s\"," REST ",\"slots\":5,\"state\":\"ready\"}", FALSE },
+    { "no slot", "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":0,\"state\":\"ready\"}", FALSE },
+    { "no service",
+      "{\"address\":\"10.0.0.1:80\"," OTHER_FIELDS ",\"slots\":5,\"state\":\"ready\"}", FALSE },
+    { "no address", "{\"service\":\"s\"," OTHER_FIELDS ",\"slots\":5,\"state\":\"ready\"}", FALSE },
     { "address a list",
-      "{\"service\":\"s\",\"address\":[\"10.0.0.1:80\"]," REST ",\"slots\":5,\"state\":\"ready\"}",
+      "{\"service\":\"s\",\"address\":[\"10.0.0.1:80\"]," OTHER_FIELDS
+      ",\"slots\":5,\"state\":\"ready\"}",
       FALSE },
     { "address a name",
-      "{\"service\":\"s\",\"address\":\"host.example:80\"," REST
+      "{\"service\":\"s\",\"address\":\"host.example:80\"," OTHER_FIELDS
       ",\"slots\":5,\"state\":\"ready\"}",
       FALSE },
     { "no port",
-      "{\"service\":\"s\",\"address\":\"10.0.0.1\"," REST ",\"slots\":5,\"state\":\"ready\"}",
+      "{\"service\":\"s\",\"address\":\"10.0.0.1\"," OTHER_FIELDS
+      ",\"slots\":5,\"state\":\"ready\"}",
       FALSE },
     { "no zone",
-      "{" ADDRESS "\"version\":\"v1\",\"warmup_left_ms\":0,\"seq\":1,\"slots\":5,"
+      "{" SERVICE_AND_ADDRESS "\"version\":\"v1\",\"warmup_left_ms\":0,\"seq\":1,\"slots\":5,"
       "\"state\":\"ready\"}",
       FALSE },
     { "count as text",
-      "{" ADDRESS "\"zone\":\"z\",\"version\":\"v1\",\"warmup_left_ms\":0,"
+      "{" SERVICE_AND_ADDRESS "\"zone\":\"z\",\"version\":\"v1\",\"warmup_left_ms\":0,"
       "\"seq\":\"1\",\"slots\":5,\"state\":\"ready\"}",
       FALSE },
-    { "start as text", "{" ADDRESS REST ",\"slots\":5,\"state\":\"ready\",\"born\":\"1\"}", FALSE },
-    { "start as a fraction", "{" ADDRESS REST ",\"slots\":5,\"state\":\"ready\",\"born\":1.5}",
+    { "start as text",
+      "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":5,\"state\":\"ready\",\"born\":\"1\"}",
+      FALSE },
+    { "start as a fraction",
+      "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":5,\"state\":\"ready\",\"born\":1.5}",
+      FALSE },
+    { "start null",
+      "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":5,\"state\":\"ready\",\"born\":null}",
       FALSE },
-    { "start null", "{" ADDRESS REST ",\"slots\":5,\"state\":\"ready\",\"born\":null}", FALSE },
-    { "start below zero", "{" ADDRESS REST ",\"slots\":5,\"state\":\"ready\",\"born\":-4}", FALSE },
+    { "start below zero",
+      "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":5,\"state\":\"ready\",\"born\":-4}", FALSE },
     { "empty", "{}", FALSE },
     { "no object", "[]", FALSE },
     { "text", "\"ready\"", FALSE },
@@ -184,22 +201,22 @@
           "{\"store_revision\":3,\"has_more\":false,\"items\":[{\"meta\":{\"name\":\"i-1\","
           "\"revision\":2},\"spec\":%s}]}",
           cases[i].spec);
-      MrPlatformResult *result = S_read ("targets", 0, 200, body);
+      MrPlatformResult *result = S_decode ("targets", 0, 200, body);
       assert_int_equal (result->status, MR_OK);
       assert_int_equal (result->objects->len, 1);
       const MrPlatformObject *object = g_ptr_array_index (result->objects, 0);
       MrTargetRecord *record =
           mr_target_record_parse (mr_text (object->name), mr_text_of (object->body));
       if ((record != NULL) != cases[i].usable)
-        fail_msg ("%s: %s", cases[i].name, record ? "names a target" : mr_status_message ());
+        fail_msg ("%s: %s", cases[i].name, record ? "describes a target" : mr_status_message ());
       mr_target_record_unref (record);
       mr_message_free (&result->base);
     }
 }
 
-/* What callers see: no target at all, for as long as one entry of the page can't
- * be read.  Its neighbours are read all the same, and where its name can be read,
- * what is known under that name is given up. */
+/* Guards against the loss of all targets while one entry of a page is unreadable.  The other
+ * entries must still be decoded; if the name of the unreadable one can be read, the target
+ * known under that name must be removed. */
 static void
 test_unreadable_entries (void **state)
 {
@@ -232,11 +249,11 @@
       const char *after = watch ? "}" : "";
       g_autofree char *body = g_strdup_printf (
           "{\"%s\":[%s%s%s,%s%s%s,%s%s%s],\"has_more\":false,\"store_revision\":9}",
-          watch ? "events" : "items", before, SERVER ("i-1", "5"), after, before,
-          cases[i / 2].entry, after, before, SERVER ("i-2", "6"), after);
-      MrPlatformResult *result = S_read ("targets", watch ? 4 : 0, 200, body);
+          watch ? "events" : "items", before, TARGET_ENTRY ("i-1", "5"), after, before,
+          cases[i / 2].entry, after, before, TARGET_ENTRY ("i-2", "6"), after);
+      MrPlatformResult *result = S_decode ("targets", watch ? 4 : 0, 200, body);
       if (result->status != MR_OK)
-        fail_msg ("%s: the page is lost", cases[i / 2].name);
+        fail_msg ("%s: the page was not decoded", cases[i / 2].name);
       guint usable = 0;
       guint named = 0;
       for (guint n = 0; n < result->objects->len; n++)
@@ -246,7 +263,7 @@
           named += g_str_equal (object->name, "x") && object->body->len == 0 ? 1 : 0;
         }
       if (usable != 2 || named != (cases[i / 2].named ? 1U : 0U))
-        fail_msg ("%s, %s: %u targets, %u given up", cases[i / 2].name, watch ? "watch" : "list",
+        fail_msg ("%s, %s: %u targets, %u removed", cases[i / 2].name, watch ? "watch" : "list",
                   usable, named);
       mr_message_free (&result->base);
     }
@@ -258,13 +275,13 @@
   int http_status;
   const char *body;
   MrStatus status;
-  gboolean expired;
+  gboolean history_expired;
 } Case;
 
-/* Whatever is no whole answer must not be taken for an empty list, which would
- * put every target out of use. */
+/* An error or an incomplete response must not be taken for an empty list, which would remove
+ * every target. */
 static void
-test_answers (void **state)
+test_response_statuses (void **state)
 {
   static const Case cases[] = {
     { "list", 200, "{\"items\":[],\"has_more\":false,\"store_revision\":3}", MR_OK, FALSE },
@@ -278,8 +295,9 @@
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      MrPlatformResult *result = S_read ("targets", 1, cases[i].http_status, cases[i].body);
-      if (result->status != (int) cases[i].status || result->history_expired != cases[i].expired)
+      MrPlatformResult *result = S_decode ("targets", 1, cases[i].http_status, cases[i].body);
+      if (result->status != (int) cases[i].status ||
+          result->history_expired != cases[i].history_expired)
         fail_msg ("%s: status %d, expired %d", cases[i].name, result->status,
                   result->history_expired);
       mr_message_free (&result->base);
@@ -290,7 +308,7 @@
 test_configuration (void **state)
 {
   (void) state;
-  MrPlatformResult *result = S_read (
+  MrPlatformResult *result = S_decode (
       "configurations", 0, 200,
       "{\"store_revision\":9,\"has_more\":false,\"items\":[{\"meta\":{\"name\":\"main\","
       "\"revision\":"
@@ -330,7 +348,7 @@
 }
 
 static void
-test_questions (void **state)
+test_request_paths (void **state)
 {
   static const struct
   {
@@ -361,10 +379,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_old_removal),   cmocka_unit_test (test_removal_follows_change),
-    cmocka_unit_test (test_answers),       cmocka_unit_test (test_evacuations),
-    cmocka_unit_test (test_configuration), cmocka_unit_test (test_questions),
-    cmocka_unit_test (test_entries),       cmocka_unit_test (test_unreadable_entries),
+    cmocka_unit_test (test_stale_removal),     cmocka_unit_test (test_removal_follows_change),
+    cmocka_unit_test (test_response_statuses), cmocka_unit_test (test_evacuations),
+    cmocka_unit_test (test_configuration),     cmocka_unit_test (test_request_paths),
+    cmocka_unit_test (test_entry_validation),  cmocka_unit_test (test_unreadable_entries),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
