--- a/test/platform/lib.sh
+++ b/test/platform/lib.sh
@@ -1,9 +1,9 @@
-# Helpers of the adapter's process tests: a store, searchers and relays as
-# separate processes on loopback.  Needs: BUILD, the build folder.
+# Helpers for the process tests of the platform adapter: a store, searchers and relays run
+# as separate processes on loopback.  Requires BUILD, the build directory.
 
 STORE=127.0.0.1:18000
 SEARCHER_BASE=18100
-RELAY_BASE=18200 # ten ports each: front, ready, directory, control
+RELAY_BASE=18200 # ten ports each: front, ready, directory, control, metrics
 LOGS=$(mktemp -d)
 
 LOG_GLOB='r*.log'
@@ -13,47 +13,47 @@
 
 searcher_at() { printf '127.0.0.1:%d' $((SEARCHER_BASE + $1)); }
 
-# Announces searcher NUMBER as ID of SERVICE in STATE.
-announce() {
+# Registers searcher NUMBER as ID of SERVICE in STATE.
+register() {
   http -X PUT "http://$STORE/objects/servers/$2" --data-binary \
     "{\"service\":\"$3\",\"address\":\"$(searcher_at "$1")\",\"zone\":\"z1\",\"version\":\"v1\",
       \"slots\":5,\"state\":\"$4\",\"warmup_left_ms\":0,\"seq\":1}" >/dev/null
 }
 
-# The same with the time at which the searcher started, Unix ms, as a fifth argument.
-announce_started() {
+# As register, with the start time of the searcher, Unix ms, as fifth argument.
+register_started() {
   http -X PUT "http://$STORE/objects/servers/$2" --data-binary \
     "{\"service\":\"$3\",\"address\":\"$(searcher_at "$1")\",\"zone\":\"z1\",\"version\":\"v1\",
       \"slots\":5,\"state\":\"$4\",\"warmup_left_ms\":0,\"seq\":1,\"born\":$5}" >/dev/null
 }
 
-announce_raw() { http -X PUT "http://$STORE/raw/servers/$1" --data-binary "$2" >/dev/null; } # ID BYTES
+register_raw() { http -X PUT "http://$STORE/raw/servers/$1" --data-binary "$2" >/dev/null; } # ID BYTES
 
-withdraw() { http -X DELETE "http://$STORE/objects/servers/$1" >/dev/null; } # ID
+unregister() { http -X DELETE "http://$STORE/objects/servers/$1" >/dev/null; } # ID
 
 start_searcher() { # NUMBER ID SERVICE
   start "s$1" "$BUILD/test/standin" searcher $((SEARCHER_BASE + $1)) "$2"
   until_true 5 http "http://$(searcher_at "$1")/runs/x" || fail "searcher $1 does not start"
-  announce "$1" "$2" "$3" ready
+  register "$1" "$2" "$3" ready
 }
 
-# What the searchers serve and are called, by number.
+# Services and ids of the searchers, by number.
 SERVICES=([1]=a [2]=a [3]=b [4]=c)
 IDS=([1]=i-1 [2]=i-2 [3]=i-3 [4]=i-4)
 GENERATION=0
 
-lives() { http "http://$(searcher_at "$1")/runs/x" >/dev/null 2>&1; } # NUMBER
+is_running() { http "http://$(searcher_at "$1")/runs/x" >/dev/null 2>&1; } # NUMBER
 
-# Starts searcher NUMBER, which has ended, anew, under an id of this generation.
-restart_ended() { # NUMBER
+# Restarts searcher NUMBER, which has exited, with the id of this generation.
+restart_searcher() { # NUMBER
   wait "${PIDS[s$1]}" 2>/dev/null
-  withdraw "${IDS[$1]}"
+  unregister "${IDS[$1]}"
   IDS[$1]="i-$1-$GENERATION"
   start_searcher "$1" "${IDS[$1]}" "${SERVICES[$1]}"
 }
 
-# configure VERSION SHARDS: routes /all/ over the shards, /one/ (idempotent) and
-# /order/ (not) to the service "a".
+# configure VERSION SHARDS: routes /all/ to all SHARDS, and /one/ (idempotent) and /order/
+# (not idempotent) to the service "a".
 configure() {
   http -X PUT "http://$STORE/objects/config/main" --data-binary \
     "{\"version\":$1,\"routes\":[
@@ -90,23 +90,24 @@
 
 relay_ready() { http -f "http://127.0.0.1:$(relay_port "$1" 1)/ready"; } # NUMBER
 
-# Where an answer is written: callers that ask side by side have each their own.
-ANSWER=$LOGS
+# Directory for the response; concurrent callers use one each.
+RESPONSE=$LOGS
 
-# ask RELAY PATH ID [CURL ARGUMENTS]: prints "STATUS\n" and writes head and body.
+# ask RELAY PATH ID [CURL ARGUMENTS]: prints the status, and writes the header and body to
+# RESPONSE/head and RESPONSE/body.
 ask() {
   local relay=$1 path=$2 id=$3
   shift 3
-  http -o "$ANSWER/body" -D "$ANSWER/head" -w '%{http_code}' -H "Host: h.test" -H "X-Request-Id: $id" \
+  http -o "$RESPONSE/body" -D "$RESPONSE/head" -w '%{http_code}' -H "Host: h.test" -H "X-Request-Id: $id" \
     -H "X-Deadline-Ms: 3000" "$@" "http://127.0.0.1:$(relay_port "$relay" 0)$path"
 }
 
-whole() { [ "$(ask "$1" /all/q "q$RANDOM")" = 200 ] && [ "$(field X-Missing-Parts)" = 0 ]; }
-all_whole() { whole 1 && whole 2 && whole 3; }
+search_complete() { [ "$(ask "$1" /all/q "q$RANDOM")" = 200 ] && [ "$(field X-Missing-Parts)" = 0 ]; }
+all_complete() { search_complete 1 && search_complete 2 && search_complete 3; }
 
-field() { sed -n "s/^$1: \(.*\)\r$/\1/ip" "$ANSWER/head"; } # NAME, of the last answer
+field() { sed -n "s/^$1: \(.*\)\r$/\1/ip" "$RESPONSE/head"; } # NAME: header field of the last response
 
-runs() { # ID: on all searchers together
+runs() { # ID: the number of runs on all searchers
   local i sum=0
   for i in 1 2 3 4; do
     [ -n "${PIDS[s$i]:-}" ] || continue
@@ -115,7 +116,7 @@
   printf '%d' $sum
 }
 
-# A store, four searchers (two of service a, one each of b and c), relays.
+# Starts a store, four searchers (two of service a, one each of b and c) and relays.
 start_platform() { # RELAYS
   local i
   start store "$BUILD/test/standin" store 18000
--- a/test/platform/process_quarantine_starts.sh
+++ b/test/platform/process_quarantine_starts.sh
@@ -1,31 +1,29 @@
 #!/usr/bin/env bash
-# A request that ends its searchers, at the moment at which all relays start again.
+# A request that crashes its searchers, sent while all relays restart.
 #
-# What callers see: after a loss of all relays the first seconds are worse than the loss.
-# A request that had ended three searchers, and that was held back, comes again in the
-# moment at which the relays start.  They serve as soon as they know the routes and the
-# targets, and read what is quarantined after that; so it goes to one searcher of each
-# shard at once, and ends them all.
+# Guards against a crash of one searcher of each shard right after a restart of all relays.
+# This happens if the relays serve as soon as they have the routes and targets, but read
+# the quarantine only after that, while a request that has crashed three searchers and
+# was quarantined is repeated.
 set -u
 BUILD=$1
 . "$(dirname "$0")/lib.sh"
 trap stop_all EXIT
 start_platform 3
 
-INSISTING=()
+SENDERS=()
 
-# Starts anew, under another id, each searcher that has ended.
-revive() {
+# Restarts each crashed searcher with a new id.
+restart_crashed() {
   local i
   GENERATION=$((GENERATION + 1))
   for i in 1 2 3 4; do
-    lives $i || restart_ended $i
+    is_running $i || restart_searcher $i
   done
 }
 
-# Such requests, one after the other, from before RELAY listens until it has served for
-# some time.
-insist() { # RELAY SECONDS
+# Sends such requests one after the other for SECONDS, from before RELAY listens.
+send_repeatedly() { # RELAY SECONDS
   local i end=$((SECONDS + $2))
   for ((i = 0; SECONDS < end; i++)); do
     curl -s -o /dev/null --max-time 2 -H "Host: h.test" -H "X-Request-Id: insist$1-$i" \
@@ -34,50 +32,50 @@
   done
 }
 
-# Until PATH is quarantined, and the store knows.  30 s later one call of it may go out again.
+# Sends requests to PATH until its quarantine is in the store.  30 s later a relay may send one
+# call of it as a trial.
 quarantine() { # PATH
   local i count
-  count=$(kept)
+  count=$(stored_quarantines)
   CRASH=$1
   for i in 1 2 3; do
     ask $i "$CRASH" "crash$i" >/dev/null
     sleep 0.3
-    revive
-    until_true 10 all_whole || fail "searches are not whole again"
+    restart_crashed
+    until_true 10 all_complete || fail "searches are not complete again"
   done
-  more_kept() { [ "$(kept)" -gt "$count" ]; }
-  until_true 5 more_kept || fail "the store has no quarantine: $(http "http://$STORE/objects/quarantine")"
+  more_stored() { [ "$(stored_quarantines)" -gt "$count" ]; }
+  until_true 5 more_stored || fail "the store has no quarantine: $(http "http://$STORE/objects/quarantine")"
 }
-kept() { http "http://$STORE/objects/quarantine" | grep -o '"quarantined"' | wc -l; }
+stored_quarantines() { http "http://$STORE/objects/quarantine" | grep -o '"quarantined"' | wc -l; }
 
-# start_all: all relays are killed and start again, and are asked all the while for what is
-# quarantined.
-start_all() { # MODE of the store, down and shed for a while; SECONDS to ask
+# Kills and restarts all relays while quarantined requests are sent to them.
+restart_under_load() { # MODE of the store (down and shed end after 1.7 s), SECONDS of requests
   local before r
   before=$(cat "$LOGS"/s*.log | grep -c '^run crash\|^run insist')
   for r in 1 2 3; do stop r$r KILL; done
   for r in 1 2 3; do start_relay $r "z$r"; done
-  for r in 1 2 3; do insist $r $2 & INSISTING[r]=$!; done
+  for r in 1 2 3; do send_repeatedly $r $2 & SENDERS[r]=$!; done
   if [ "$1" = down ] || [ "$1" = shed ]; then
     sleep 1.7
     mode "$STORE" ok
   fi
   for r in 1 2 3; do until_true 10 relay_ready $r || fail "relay $r is not ready"; done
-  wait "${INSISTING[@]}"
-  REACHED=$(($(cat "$LOGS"/s*.log | grep -c '^run crash\|^run insist') - before))
+  wait "${SENDERS[@]}"
+  CALLS=$(($(cat "$LOGS"/s*.log | grep -c '^run crash\|^run insist') - before))
 }
 
-# Where the store answers, at once or late or after an outage, or lists the routes and then
-# falls silent for a while, not one call may go out.
-declare -A ASKED_FOR=([ok]=2 [slow]=2 [down]=5 [shed]=7)
+# No call may be sent if the store responds at once, late or after an outage, or if it lists
+# the configuration and then does not respond for a while.
+declare -A SEND_SECONDS=([ok]=2 [slow]=2 [down]=5 [shed]=7)
 check_starts() { # MODES of the store
   local store
   for store in "$@"; do
     mode "$STORE" "$store"
-    start_all $store ${ASKED_FOR[$store]}
-    say "start of all relays, the store $store: $REACHED calls reached searchers"
-    [ $REACHED = 0 ] || fail "$REACHED calls of a quarantined request reached searchers"
-    until_true 10 all_whole || fail "searches are not whole after the relays' start"
+    restart_under_load $store ${SEND_SECONDS[$store]}
+    say "restart of all relays, store mode $store: $CALLS calls reached searchers"
+    [ $CALLS = 0 ] || fail "$CALLS calls of a quarantined request reached searchers"
+    until_true 10 all_complete || fail "searches are not complete after the restart of the relays"
   done
 }
 quarantine /all/crash
@@ -86,11 +84,11 @@
 quarantine /all/crash-again
 check_starts shed shed
 
-# Where the store refuses to list quarantines, and nothing else, searches are served all the
-# same, soon.
+# If the store fails only to list quarantines, the relays still serve searches soon after the
+# start.
 mode "$STORE" error
 for r in 1 2 3; do stop r$r KILL; done
 for r in 1 2 3; do start_relay $r "z$r"; done
 for r in 1 2 3; do until_true 3 relay_ready $r || fail "relay $r is not ready without quarantines"; done
-until_true 10 all_whole || fail "searches are not whole without quarantines"
-say "quarantine at a start: ok"
+until_true 10 all_complete || fail "searches are not complete without quarantines"
+say "quarantine at a restart: ok"
--- a/test/platform/process_start.sh
+++ b/test/platform/process_start.sh
@@ -1,26 +1,26 @@
 #!/usr/bin/env bash
-# Callers that ask a relay while it starts.
+# Searches that arrive while a relay starts.
 #
-# What they saw: of several searches that waited for a relay's start, some came back without a
-# part, though another searcher of the shard could serve it.  One of the shard's two searchers
-# refuses (421: another process has its address); what has waited is begun at one moment, half
-# of it there, and a process that has just started had one second send for all of them.  The
-# lines of these searches (E1701) said "cause":"budget", and the part's only call
+# Guards against searches that waited for the start and miss a part that another searcher of
+# the shard could serve.  One of the shard's two searchers refuses requests (421: another
+# process has its address).  All waiting searches begin at once, half of them at that
+# searcher, and the resend budget of a relay that had just started was one resend for all of
+# them.  Their log lines (E1701) had "cause":"budget", and the part's only call
 # "end":"misdirected".
 set -u
 BUILD=$1
 . "$(dirname "$0")/lib.sh"
 trap stop_all EXIT
 CALLERS=8
-SEARCHES=4 # of each caller
+SEARCHES=4 # for each caller
 start_platform 3
-withdraw i-1
-announce 1 i-1b a ready # its process answers as i-1
+unregister i-1
+register 1 i-1b a ready # its process identifies itself as i-1
 
-# Asks as soon as the relay listens, again and again; notes the parts that are missing.
+# Sends searches from before the relay listens; writes the number of missing parts of each.
 ask_at_start() { # RELAY CALLER
-  local n=0 ANSWER="$LOGS/caller-$1-$2"
-  mkdir -p "$ANSWER"
+  local n=0 RESPONSE="$LOGS/caller-$1-$2"
+  mkdir -p "$RESPONSE"
   for _ in $(seq 1 400); do
     [ "$n" -lt $SEARCHES ] || return
     if [ "$(ask "$1" "/all/q$1.$2.$n" "c$1.$2.$n" 2>/dev/null)" = 200 ]; then
@@ -32,7 +32,7 @@
   done
 }
 
-# Ends and starts RELAYS, with callers in front of each.
+# Restarts RELAYS while callers send searches to each of them.
 restart_with_callers() { # WHAT RELAYS...
   local what=$1 r c
   shift
@@ -47,16 +47,16 @@
   done
   for r in "$@"; do start_relay "$r" "z$r"; done
   wait "${pids[@]}"
-  [ "$(wc -l <"$LOGS/missing")" = $((CALLERS * SEARCHES * $#)) ] || fail "$what: not all are answered"
+  [ "$(wc -l <"$LOGS/missing")" = $((CALLERS * SEARCHES * $#)) ] || fail "$what: not all searches got a response"
   [ "$(sort -u "$LOGS/missing")" = 0 ] ||
-    fail "$what: $(grep -cv '^0$' "$LOGS/missing") answers without a part"
+    fail "$what: $(grep -cv '^0$' "$LOGS/missing") responses without a part"
 }
 
 for _ in 1 2 3; do
-  restart_with_callers "a start" 3
+  restart_with_callers "restart" 3
 done
-restart_with_callers "a start of all" 1 2 3
+restart_with_callers "restart of all relays" 1 2 3
 mode $STORE silent
-restart_with_callers "a start in an outage of the store" 3
+restart_with_callers "restart in an outage of the store" 3
 mode $STORE ok
 say "start: ok"
--- a/test/process_orders.sh
+++ b/test/process_orders.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# A caller's order runs at most once, and what it is told is true.
+# An order runs at most once, and its caller gets the true outcome.
 #
-# 1. The target runs the order and drops the connection: the caller is told
-#    "unknown" at once; asking again, here or elsewhere, runs nothing.
-# 2. The issuer is frozen: asked at another daemon, the caller is told
-#    "unknown" in time; when it wakes, the order runs once or not at all.
-# 3. The issuer is killed: its tickets are dispatched by nobody.
-# 4. With the record switched off the same history runs the order twice.
+# 1. The target runs the order and drops the connection: the caller gets "unknown" at once.
+#    Repeating the order at the same or another daemon does not run it again.
+# 2. The issuer of the ticket is stopped: another daemon responds "unknown" in time.  When
+#    the issuer continues, the order runs once or not at all.
+# 3. The issuer is killed: no daemon dispatches its tickets.
+# 4. With the record of dispatched tickets switched off, a repeated order runs twice.
 set -u
 BUILD=$1
 . "$(dirname "$0")/../demo/lib.sh"
@@ -18,12 +18,12 @@
 expect "$(order 1 "$t" 1000)" '"result":300' "a dropped connection"
 control_all drop_orders=0
 [ "$(orders_run)" = 1 ] || fail "the order ran $(orders_run) times"
-expect "$(order 1 "$t" 1000)" '"result":300' "asked again at the issuer"
-expect "$(order 2 "$t" 1000)" '"result":300' "asked again elsewhere"
-[ "$(orders_run)" = 1 ] || fail "asking again ran the order"
+expect "$(order 1 "$t" 1000)" '"result":300' "repeated at the issuer"
+expect "$(order 2 "$t" 1000)" '"result":300' "repeated at another daemon"
+[ "$(orders_run)" = 1 ] || fail "repeating the order ran it again"
 
-# An order that takes longer than the owners' 10 ms "still working" is not ended
-# by it: taken for an end, it was told as "not run" and could run again.
+# An owner reports after 10 ms that an order is still in progress.  If that were taken for
+# the end of the order, it would be reported as "not run" and could run again.
 control_all slow_factor=40
 t=$(ticket 1)
 expect "$(order 1 "$t" 2000)" '"result":102' "a slow order"
@@ -32,10 +32,10 @@
 
 t=$(ticket 1)
 kill -STOP "${PIDS[d1]}"
-expect "$(order 2 "$t" 400)" '"ran":"unknown"' "a frozen issuer"
+expect "$(order 2 "$t" 400)" '"ran":"unknown"' "a stopped issuer"
 kill -CONT "${PIDS[d1]}"
-settled() { has "$(order 2 "$t" 1000)" '"result":102'; }
-until_true 10 settled || fail "the order is not done after the issuer woke"
+order_done() { has "$(order 2 "$t" 1000)" '"result":102'; }
+until_true 10 order_done || fail "the order did not finish after the issuer continued"
 [ "$(orders_run)" = 3 ] || fail "the order ran $(($(orders_run) - 2)) times"
 
 t=$(ticket 1)
@@ -43,8 +43,8 @@
 stop d1 KILL
 expect "$(order 2 "$t" 1000)" '"ran":"unknown"' "a killed issuer"
 start_daemon 1 1
-until_true 10 daemon_ready 1 || fail "d1 did not come back"
-until_true 10 search_complete 1 shop-search ripe || fail "d1 does not serve again"
+until_true 10 daemon_ready 1 || fail "d1 is not ready after its restart"
+until_true 10 search_complete 1 shop-search ripe || fail "d1 does not serve after its restart"
 expect "$(order 2 "$t" 1000)" '"ran":"unknown"' "a ticket of an earlier process"
 [ "$(orders_run)" = 4 ] || fail "a ticket of a killed process ran again"
 expect "$(order 2 "" 1000)" '"result":402' "an order without a ticket"
