--- a/demo/load.c
+++ b/demo/load.c
@@ -47,7 +47,7 @@
 
 struct _Load
 {
-  MrLoopHandler host;
+  MrLoopHandler handler;
   MrLoop *loop;
   MrHttpClient *client;
   Request *slots[SLOTS];
@@ -253,9 +253,9 @@
 }
 
 static MrTime
-S_on_tick (MrLoopHandler *host, MrTime now)
+S_on_tick (MrLoopHandler *handler, MrTime now)
 {
-  Load *load = (Load *) host;
+  Load *load = (Load *) handler;
   guint64 total = (guint64) opt.rate * (guint64) opt.seconds;
   MrTime gap = MR_SECOND / opt.rate;
   if (!load->refreshing && now >= load->refresh_at)
@@ -371,8 +371,8 @@
       return EXIT_FAILURE;
     }
   signal (SIGPIPE, SIG_IGN);
-  Load load = { .host = { .on_tick = S_on_tick } };
-  load.loop = mr_loop_new (&load.host, DESCRIPTORS);
+  Load load = { .handler = { .on_tick = S_on_tick } };
+  load.loop = mr_loop_new (&load.handler, DESCRIPTORS);
   if (!load.loop)
     return EXIT_FAILURE;
   load.started_at = mr_now ();
--- a/demo/platformd.c
+++ b/demo/platformd.c
@@ -48,8 +48,8 @@
 
 typedef struct
 {
-  MrLoopHandler loop_host;
-  MrHttpHandler http_host;
+  MrLoopHandler loop_handler;
+  MrHttpHandler http_handler;
   MrLoop *loop;
   MrHttpServer *server;
   GHashTable *kinds; /* kind -> GHashTable of name -> Object */
@@ -68,7 +68,8 @@
   MrTime vms_lag;
 } Platform;
 
-#define PLATFORM_OF(host) ((Platform *) (void *) ((char *) (host) -offsetof (Platform, http_host)))
+#define PLATFORM_OF(handler)                                                                       \
+  ((Platform *) (void *) ((char *) (handler) -offsetof (Platform, http_handler)))
 
 static void
 S_object_free (gpointer data)
@@ -354,9 +355,9 @@
 }
 
 static void
-S_on_request (MrHttpHandler *host, const MrHttpRequest *request)
+S_on_request (MrHttpHandler *handler, const MrHttpRequest *request)
 {
-  Platform *p = PLATFORM_OF (host);
+  Platform *p = PLATFORM_OF (handler);
   g_autofree char *path = mr_text_dup (request->path);
   if (g_str_equal (path, "/faults"))
     {
@@ -402,9 +403,9 @@
 }
 
 static MrTime
-S_on_tick (MrLoopHandler *host, MrTime now)
+S_on_tick (MrLoopHandler *handler, MrTime now)
 {
-  Platform *p = (Platform *) host;
+  Platform *p = (Platform *) handler;
   MrTime next = MR_NEVER;
   for (guint i = p->waiting->len; i > 0; i--)
     {
@@ -455,8 +456,8 @@
   argp_parse (&argp, argc, argv, 0, NULL, NULL);
   signal (SIGPIPE, SIG_IGN);
   Platform p = {
-    .loop_host = { .on_tick = S_on_tick },
-    .http_host = { .on_request = S_on_request },
+    .loop_handler = { .on_tick = S_on_tick },
+    .http_handler = { .on_request = S_on_request },
     .kinds = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                     (GDestroyNotify) g_hash_table_unref),
     .vms = g_ptr_array_new (),
@@ -464,9 +465,9 @@
     .revision = 100,
     .vms_lag = opt_lag_ms * MR_MS,
   };
-  p.loop = mr_loop_new (&p.loop_host, DESCRIPTORS);
+  p.loop = mr_loop_new (&p.loop_handler, DESCRIPTORS);
   if (p.loop)
-    p.server = mr_http_server_new (p.loop, &p.http_host, opt_ip, opt_port, BODY_MAX);
+    p.server = mr_http_server_new (p.loop, &p.http_handler, opt_ip, opt_port, BODY_MAX);
   if (!p.server)
     {
       fprintf (stderr, "platformd: %s\n", mr_status_message ());
--- a/demo/searcherd.c
+++ b/demo/searcherd.c
@@ -34,7 +34,7 @@
 
 struct _Searcher
 {
-  MrHttpHandler http_host;
+  MrHttpHandler http_handler;
   MrHttpServer *server;
   guint index;
   GPtrArray *active_calls;
@@ -58,7 +58,7 @@
 
 typedef struct
 {
-  MrLoopHandler loop_host;
+  MrLoopHandler loop_handler;
   MrLoop *loop;
   MrCatalogue *catalogue;
   Searcher *searchers;
@@ -300,9 +300,9 @@
 };
 
 static void
-S_on_request (MrHttpHandler *host, const MrHttpRequest *request)
+S_on_request (MrHttpHandler *handler, const MrHttpRequest *request)
 {
-  Searcher *s = (Searcher *) host;
+  Searcher *s = (Searcher *) handler;
   gboolean control = mr_text_equal (request->path, MR_TEXT ("/control")) ||
                      mr_text_equal (request->path, MR_TEXT ("/stats"));
   s->peak_connections = MAX (s->peak_connections, mr_http_server_connection_count (s->server));
@@ -331,9 +331,9 @@
 }
 
 static void
-S_on_disconnect (MrHttpHandler *host, guint64 id)
+S_on_disconnect (MrHttpHandler *handler, guint64 id)
 {
-  Searcher *s = (Searcher *) host;
+  Searcher *s = (Searcher *) handler;
   for (guint i = 0; i < s->active_calls->len; i++)
     if (((ActiveCall *) g_ptr_array_index (s->active_calls, i))->http_id == id)
       {
@@ -363,9 +363,9 @@
 }
 
 static MrTime
-S_on_tick (MrLoopHandler *host, MrTime now)
+S_on_tick (MrLoopHandler *handler, MrTime now)
 {
-  (void) host;
+  (void) handler;
   if (now >= process.crash_at)
     exit (EXIT_SUCCESS);
   MrTime next = process.crash_at;
@@ -378,14 +378,14 @@
 S_start_searcher (Searcher *s, guint index)
 {
   s->index = index;
-  s->http_host = (MrHttpHandler){ .on_request = S_on_request, .on_disconnect = S_on_disconnect };
+  s->http_handler = (MrHttpHandler){ .on_request = S_on_request, .on_disconnect = S_on_disconnect };
   s->active_calls = g_ptr_array_new_with_free_func (S_active_call_free);
   s->snapshots = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   s->slow_factor = 1;
   s->warm_at = mr_now () + opt.cold_ms * MR_MS;
   g_hash_table_add (s->snapshots, g_strdup (opt.snapshot));
   s->server =
-      mr_http_server_new (process.loop, &s->http_host, opt.ip, opt.port + (int) index, BODY_MAX);
+      mr_http_server_new (process.loop, &s->http_handler, opt.ip, opt.port + (int) index, BODY_MAX);
   if (!s->server)
     {
       fprintf (stderr, "searcherd: %s\n", mr_status_message ());
@@ -464,8 +464,8 @@
   argp_parse (&argp, argc, argv, 0, NULL, NULL);
   opt.count = CLAMP (opt.count, 1, COUNT_MAX);
   signal (SIGPIPE, SIG_IGN);
-  process.loop_host = (MrLoopHandler){ .on_tick = S_on_tick };
-  process.loop = mr_loop_new (&process.loop_host, DESCRIPTORS);
+  process.loop_handler = (MrLoopHandler){ .on_tick = S_on_tick };
+  process.loop = mr_loop_new (&process.loop_handler, DESCRIPTORS);
   process.catalogue =
       mr_catalogue_new ((guint) opt.records, (guint) opt.shards, (guint32) opt.seed);
   process.searchers = g_new0 (Searcher, opt.count);
--- a/test/platform/process_quarantine.sh
+++ b/test/platform/process_quarantine.sh
@@ -68,8 +68,8 @@
 say "later, six times: $CALLS calls reached searchers, $CRASHES crashed"
 [ $CALLS -le 3 ] || fail "$CALLS calls of a request that had crashed three searchers reached searchers"
 
-# six_times PATH ID WHAT [CURL ARGUMENTS]: sends the request six times; at most four calls
-# may reach searchers.
+# six_times PATH ID WHAT [CURL ARGUMENTS]: sends the request six times.  The third crash
+# quarantines it, so that at most four calls reach searchers.
 six_times() {
   local i path=$1 id=$2 what=$3
   shift 3
--- a/test/soak/soak.c
+++ b/test/soak/soak.c
@@ -117,9 +117,9 @@
 }
 
 static MrTime
-S_on_tick (MrLoopHandler *host, MrTime now)
+S_on_tick (MrLoopHandler *handler, MrTime now)
 {
-  Soak *s = (Soak *) host;
+  Soak *s = (Soak *) handler;
   S_track_stall (s, now);
   s->now = now;
   for (MrTimer *t = mr_timers_pop (s->proxy_timers, now); t;
@@ -293,7 +293,7 @@
   /* Static, because it and all it owns live until the process exits. */
   static Soak s;
   s = (Soak){
-    .host = { .on_tick = S_on_tick },
+    .handler = { .on_tick = S_on_tick },
     .timers = mr_timers_new (),
     .proxy_timers = mr_timers_new (),
     .random = g_rand_new_with_seed ((guint32) atoi (argv[2])),
@@ -312,7 +312,7 @@
     .sent = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free),
   };
   s.loss.random = g_rand_new_with_seed ((guint32) atoi (argv[2]) + 2);
-  s.loop = mr_loop_new (&s.host, 2000);
+  s.loop = mr_loop_new (&s.handler, 2000);
   s.start = mr_now ();
   S_start_all (&s);
   s.now = mr_now ();
@@ -329,11 +329,11 @@
   S_stop_all (&s);
   S_check_runs (&s);
   for (guint i = 0; i < RELAYS; i++)
-    if (s.whole_answers[i] == 0)
+    if (s.complete_responses[i] == 0)
       soak_violation (&s, "heals: relay %u served no complete response of the newest version", i);
   printf ("seed %s: %u responses, %u successful, %u orders, %u violations, longest stall %.3f s; "
           "logs in %s\n",
-          argv[2], s.answered, s.served, g_hash_table_size (s.orders), s.violations,
+          argv[2], s.responses, s.served, g_hash_table_size (s.orders), s.violations,
           (double) s.longest_stall / (double) MR_SECOND, s.directory);
   return s.violations == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/test/soak/soak.h
+++ b/test/soak/soak.h
@@ -45,10 +45,9 @@
 {
   GRand *random; /* separate, so that the other faults of a seed do not depend on it */
   MrTime next;
-  guint crashes; /* searchers */
+  guint crashes; /* of searchers */
   MrTime third_crash;
-  GHashTable *late_ids; /* ids sent after the third crash, later than the quarantine takes to reach
-                           the relay */
+  GHashTable *late_ids; /* ids sent when the relay must know of the quarantine */
 } CrashingRequests;
 
 /* All relays are killed at once; only what is in the store by then survives. */
@@ -56,9 +55,9 @@
 {
   GRand *random; /* separate, as for crashing requests */
   MrTime next;
-  MrTime killed_at;           /* 0: never */
-  MrTime store_disturbed;     /* last fault of the store or of a relay's path to it */
-  gboolean quarantine_stored; /* at that time the store had the quarantine */
+  MrTime killed_at;            /* 0: never */
+  MrTime store_last_disturbed; /* last fault of the store or of a relay's path to it */
+  gboolean quarantine_stored;  /* at that time the store had the quarantine */
 } RelayLoss;
 
 /* Evacuation of a failure domain: its searchers must not get requests. */
@@ -68,8 +67,8 @@
   MrTime next;   /* when the next evacuation begins, or the current one ends */
   MrTime since;  /* 0: no domain is evacuated */
   guint domain;
-  GHashTable *sent;       /* id -> SoakEvacuatedRequest, of requests whose relay must know */
-  MrTime store_disturbed; /* last fault of the store */
+  GHashTable *sent;            /* id -> SoakEvacuatedRequest, of requests whose relay must know */
+  MrTime store_last_disturbed; /* last fault of the store */
   MrTime path_last_disturbed[RELAYS]; /* last fault of a relay's path to the store */
 } Evacuation;
 
@@ -90,7 +89,7 @@
 
 struct Soak
 {
-  MrLoopHandler host;
+  MrLoopHandler handler;
   MrLoop *loop;
   MrTimers *timers; /* Caller */
   MrTimers *proxy_timers;
@@ -106,7 +105,7 @@
   SoakProxy *searcher_proxies[SEARCHERS];
   MrTime proxies_recover_at[RELAYS + SEARCHERS];
   GQueue idle[RELAYS]; /* Caller */
-  GHashTable *orders;  /* id -> OrderEnd */
+  GHashTable *orders;  /* id -> OrderOutcome */
   GHashTable *sent;    /* set of ids */
   guint64 last_id;
   guint version;
@@ -123,11 +122,11 @@
   MrTime faults_end;
   MrTime end;
   MrTime store_recovers_at;
-  guint answered;
+  guint responses;
   guint served;
   guint violations; /* of the checked guarantees */
   gboolean recovery_started;
-  guint whole_answers[RELAYS];
+  guint complete_responses[RELAYS];
 };
 
 /* All ports are this one plus an offset from above. */
--- a/test/soak/soak_callers.c
+++ b/test/soak/soak_callers.c
@@ -7,7 +7,7 @@
 /* Time limit of the routes in the configuration, and the tolerance of callers. */
 static const MrTime TIME_LIMIT = 1500 * MR_MS;
 static const MrTime TIME_SLACK = 1200 * MR_MS;
-/* For this long after a fault of a relay its callers accept any outcome. */
+/* For this long after a fault of a relay, requests to it may stay unanswered. */
 static const MrTime SETTLE = 4 * MR_SECOND;
 /* After the store was silent, relays notice within this time that their watches were lost. */
 static const MrTime STORE_SETTLE = 7 * MR_SECOND;
@@ -121,7 +121,7 @@
       g_string_free (bodies[i], TRUE);
   guint wanted = c->soak->three_services ? SERVICES : 2;
   if (c->soak->now > c->soak->faults_end && count == wanted && total == wanted)
-    c->soak->whole_answers[c->relay]++;
+    c->soak->complete_responses[c->relay]++;
 }
 
 static void
@@ -147,7 +147,7 @@
 {
   Soak *s = c->soak;
   int status = mr_http_parser_status (c->parser);
-  s->answered++;
+  s->responses++;
   S_check_quarantined (c, status);
   if (c->crasher)
     return;
@@ -310,7 +310,7 @@
 S_evacuation_was_received (const Soak *s)
 {
   const Evacuation *e = &s->evacuation;
-  if (e->since == 0 || e->since < e->store_disturbed + STORE_SETTLE)
+  if (e->since == 0 || e->since < e->store_last_disturbed + STORE_SETTLE)
     return FALSE;
   for (guint i = 0; i < RELAYS; i++)
     if (s->relays[i].recovers_at == 0 && e->since > s->relays[i].last_disturbed + SETTLE &&
--- a/test/soak/soak_faults.c
+++ b/test/soak/soak_faults.c
@@ -44,7 +44,7 @@
 {
   gboolean disturbed = s->store_recovers_at != 0;
   if (disturbed)
-    s->evacuation.store_disturbed = s->now;
+    s->evacuation.store_last_disturbed = s->now;
   for (guint i = 0; i < RELAYS; i++)
     {
       disturbed |= s->proxies_recover_at[i] != 0;
@@ -52,13 +52,13 @@
         s->evacuation.path_last_disturbed[i] = s->now;
     }
   if (disturbed)
-    s->loss.store_disturbed = s->now;
+    s->loss.store_last_disturbed = s->now;
 }
 
 gboolean
 soak_store_has_quarantine (const Soak *s)
 {
-  return s->loss.quarantine_stored && s->loss.store_disturbed < s->loss.killed_at;
+  return s->loss.quarantine_stored && s->loss.store_last_disturbed < s->loss.killed_at;
 }
 
 void
@@ -140,7 +140,7 @@
   guint fault = soak_random_below (s, PROXY_MODE_COUNT + 1);
   if (index < RELAYS)
     {
-      s->loss.store_disturbed = s->now;
+      s->loss.store_last_disturbed = s->now;
       s->evacuation.path_last_disturbed[index] = s->now;
     }
   soak_log (s, "proxy %u: fault %u", index, fault);
