--- a/src/burn.c
+++ b/src/burn.c
@@ -7,10 +7,10 @@
   BLAMED_MAX = 256, /* blamed targets kept for each service; all are dropped when one more comes */
 };
 
-const gint64 mr_burn_window_seconds[MR_BURN_WINDOWS] = { 300, 3600, 21600, 259200 };
+const gint64 mr_burn_window_seconds[MR_BURN_WINDOW_COUNT] = { 300, 3600, 21600, 259200 };
 
 /* Duration in seconds of one bucket in the ring of each window. */
-static const gint64 bucket_seconds[MR_BURN_WINDOWS] = { 10, 60, 300, 3600 };
+static const gint64 bucket_seconds[MR_BURN_WINDOW_COUNT] = { 10, 60, 300, 3600 };
 
 typedef struct
 {
@@ -27,7 +27,7 @@
 
 typedef struct
 {
-  Bucket buckets[MR_BURN_WINDOWS][BUCKETS_MAX];
+  Bucket buckets[MR_BURN_WINDOW_COUNT][BUCKETS_MAX];
   GHashTable *blamed; /* target -> BlameCounts */
 } ServiceBurn;
 
@@ -82,7 +82,7 @@
 }
 
 static void
-S_add_blame (ServiceBurn *service, MrTime now, const MrBurnEvent *outcome)
+S_add_blame (ServiceBurn *service, MrTime now, const MrBurnOutcome *outcome)
 {
   BlameCounts *blamed = g_hash_table_lookup (service->blamed, outcome->target);
   if (!blamed)
@@ -104,10 +104,10 @@
 }
 
 void
-mr_burn_add (MrBurn *burn, MrTime now, const char *name, const MrBurnEvent *outcome)
+mr_burn_add (MrBurn *burn, MrTime now, const char *name, const MrBurnOutcome *outcome)
 {
   ServiceBurn *service = S_get_service (burn, name);
-  for (guint window = 0; window < MR_BURN_WINDOWS; window++)
+  for (guint window = 0; window < MR_BURN_WINDOW_COUNT; window++)
     {
       gint64 index = now / MR_SECOND / bucket_seconds[window];
       Bucket *bucket = &service->buckets[window][index % S_bucket_count (window)];
@@ -185,9 +185,10 @@
   if (total == 0)
     return rate;
   rate.bad_share = (double) bad / (double) total;
-  rate.rate = rate.bad_share / allowed;
-  rate.budget_left = 1 - rate.rate;
-  if (rate.rate > 0)
-    rate.hours_to_empty = MAX (rate.budget_left, 0) * (double) window_seconds / 3600.0 / rate.rate;
+  rate.burn_rate = rate.bad_share / allowed;
+  rate.budget_left = 1 - rate.burn_rate;
+  if (rate.burn_rate > 0)
+    rate.hours_to_empty =
+        MAX (rate.budget_left, 0) * (double) window_seconds / 3600.0 / rate.burn_rate;
   return rate;
 }
--- a/src/burn.h
+++ b/src/burn.h
@@ -11,11 +11,11 @@
 
 enum
 {
-  MR_BURN_WINDOWS = 4
+  MR_BURN_WINDOW_COUNT = 4
 };
 
 /* Length of each window in seconds: 5 minutes, 1 hour, 6 hours, 3 days. */
-extern const gint64 mr_burn_window_seconds[MR_BURN_WINDOWS];
+extern const gint64 mr_burn_window_seconds[MR_BURN_WINDOW_COUNT];
 
 typedef struct
 {
@@ -33,13 +33,13 @@
   gboolean refused;
   const char *target; /* target that delayed the answer or was missing in it, or NULL */
   const char *domain; /* failure domain of that target */
-} MrBurnEvent;
+} MrBurnOutcome;
 
 typedef struct _MrBurn MrBurn;
 
 MrBurn *mr_burn_new (MrTime now);
 void mr_burn_free (MrBurn *burn);
-void mr_burn_add (MrBurn *burn, MrTime now, const char *service, const MrBurnEvent *outcome);
+void mr_burn_add (MrBurn *burn, MrTime now, const char *service, const MrBurnOutcome *outcome);
 MrBurnCounts mr_burn_counts (const MrBurn *burn, MrTime now, const char *service, guint window);
 
 /* Returns how many seconds of @window lie after the start of this process. */
@@ -58,7 +58,7 @@
 typedef struct
 {
   double bad_share;      /* bad events divided by all events */
-  double rate;           /* 1: consumes exactly the whole budget within the window */
+  double burn_rate;      /* 1: consumes exactly the whole budget within the window */
   double budget_left;    /* remaining part of the window's budget; negative if overspent */
   double hours_to_empty; /* until the budget is exhausted at this rate; negative: never */
 } MrBurnRate;
--- a/src/control_peers.c
+++ b/src/control_peers.c
@@ -48,7 +48,7 @@
   batch->top_k = wire->top_k;
   batch->policy = wire->policy;
   batch->deadline = mr_now () + wire->remaining_us;
-  g_string_append_len (batch->payload, wire->query.data, (gssize) wire->query.len);
+  g_string_append_len (batch->payload, wire->payload.data, (gssize) wire->payload.len);
   MrOrigin origin = { .incarnation = wire->root_incarnation };
   g_strlcpy (origin.root, message->sender, sizeof origin.root);
   mr_metrics_add (MR_METRIC_BATCHES_REMOTE, 1);
--- a/src/ctl_burn.c
+++ b/src/ctl_burn.c
@@ -16,10 +16,10 @@
 {
   char *name;
   double allowed[OBJECTIVES]; /* fraction of requests that may be bad */
-  MrBurnCounts counts[MR_BURN_WINDOWS];
-  gint64 covered_seconds[MR_BURN_WINDOWS]; /* of the daemon that covers most */
-  GHashTable *targets;                     /* blamed target -> count of requests */
-  GHashTable *domains;                     /* the same by failure domain */
+  MrBurnCounts counts[MR_BURN_WINDOW_COUNT];
+  gint64 covered_seconds[MR_BURN_WINDOW_COUNT]; /* of the daemon that covers most */
+  GHashTable *targets;                          /* blamed target -> count of requests */
+  GHashTable *domains;                          /* the same by failure domain */
 } ServiceBurn;
 
 static void
@@ -62,7 +62,7 @@
   service->allowed[0] = 1 - json_number_value (json_object_get (objectives, "latency"));
   service->allowed[1] = 1 - json_number_value (json_object_get (objectives, "coverage"));
   service->allowed[2] = json_number_value (json_object_get (objectives, "refused"));
-  for (guint w = 0; w < MR_BURN_WINDOWS; w++)
+  for (guint w = 0; w < MR_BURN_WINDOW_COUNT; w++)
     {
       const json_t *window = json_array_get (json_object_get (service_json, "windows"), w);
       service->counts[w].total += S_get_integer (window, "total");
@@ -116,18 +116,18 @@
 static void
 S_print_service (const ServiceBurn *service)
 {
-  static const char *const labels[MR_BURN_WINDOWS] = { "5 min", "1 h", "6 h", "3 days" };
+  static const char *const labels[MR_BURN_WINDOW_COUNT] = { "5 min", "1 h", "6 h", "3 days" };
   printf ("%s\n", service->name);
   for (guint o = 0; o < OBJECTIVES; o++)
-    for (guint w = 0; w < MR_BURN_WINDOWS; w++)
+    for (guint w = 0; w < MR_BURN_WINDOW_COUNT; w++)
       {
         MrBurnRate rate = S_rate (service, o, w);
         char bar[BAR_WIDTH + 1] = { 0 };
-        int filled = (int) CLAMP (rate.rate * BAR_WIDTH / 10, 0, BAR_WIDTH);
+        int filled = (int) CLAMP (rate.burn_rate * BAR_WIDTH / 10, 0, BAR_WIDTH);
         memset (bar, ' ', BAR_WIDTH);
         memset (bar, '#', (size_t) filled);
         printf ("  %-9s %-7s burn %8.2f |%s| budget left %6.1f%%", objective_names[o], labels[w],
-                rate.rate, bar, rate.budget_left * 100);
+                rate.burn_rate, bar, rate.budget_left * 100);
         if (rate.hours_to_empty >= 0)
           printf (", empty in %.1f h", rate.hours_to_empty);
         if (service->covered_seconds[w] < mr_burn_window_seconds[w])
@@ -148,7 +148,7 @@
   for (guint o = 0; o < OBJECTIVES; o++)
     {
       json_t *windows = json_array ();
-      for (guint w = 0; w < MR_BURN_WINDOWS; w++)
+      for (guint w = 0; w < MR_BURN_WINDOW_COUNT; w++)
         {
           MrBurnRate rate = S_rate (service, o, w);
           json_array_append_new (
@@ -156,7 +156,7 @@
                                   (json_int_t) mr_burn_window_seconds[w], "covered_seconds",
                                   (json_int_t) service->covered_seconds[w], "total",
                                   (json_int_t) service->counts[w].total, "bad_share",
-                                  rate.bad_share, "burn", rate.rate, "budget_left",
+                                  rate.bad_share, "burn", rate.burn_rate, "budget_left",
                                   rate.budget_left, "hours_to_empty", rate.hours_to_empty));
         }
       json_object_set_new (objectives, objective_names[o], windows);
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -56,7 +56,7 @@
     .incarnation = mr_entry_task_incarnation (d->entry),
     .max_connections = (guint) settings->max_connections,
     .seed = mr_process_seed (&d->process),
-    .content_key = mr_settings_content_key (settings),
+    .content_key = mr_settings_content_key_hash (settings),
   };
   d->targets = mr_target_task_new (&targets);
   d->platform = mr_platform_task_new (settings->platform_ip, settings->platform_port,
--- a/src/entry_task.c
+++ b/src/entry_task.c
@@ -314,7 +314,7 @@
 static void
 S_page_status (MrEntryTask *task, const MrHttpRequest *request)
 {
-  MrOperatorCounts counts = {
+  MrEntryActivity counts = {
     .searches = mr_searches_count (task->searches),
     .orders = mr_order_handler_pending_count (task->orders),
     .leaving = task->stage != STAGE_SERVING,
@@ -535,7 +535,7 @@
   task->context.incarnation = info->incarnation;
   task->context.burn = mr_burn_new (mr_now ());
   task->context.quarantine = mr_quarantine_new ();
-  task->context.content_key = mr_settings_content_key (info->settings);
+  task->context.content_key = mr_settings_content_key_hash (info->settings);
   task->random = g_rand_new_with_seed (info->seed);
   task->stopped = info->stopped;
   task->user = info->user;
--- a/src/json_page.c
+++ b/src/json_page.c
@@ -91,7 +91,7 @@
 }
 
 static json_t *
-S_read_element (const MrJsonPage *format, const char *list, MrText text, gsize *at)
+S_read_element (const MrJsonPageFormat *format, const char *list, MrText text, gsize *at)
 {
   gsize next = *at;
   json_t *value = S_read_value (text, &next);
@@ -107,7 +107,7 @@
 /* Returns the start of the first valid element after the malformed one at @at; text.len if there is
  * none. */
 static gsize
-S_find_next_element (const MrJsonPage *format, const char *list, MrText text, gsize at)
+S_find_next_element (const MrJsonPageFormat *format, const char *list, MrText text, gsize at)
 {
   for (at++; at < text.len; at++)
     {
@@ -126,7 +126,10 @@
 }
 
 static json_t *
-S_read_elements (const MrJsonPage *format, const char *list, MrText text, guint *malformed_count)
+S_read_elements (const MrJsonPageFormat *format,
+                 const char *list,
+                 MrText text,
+                 guint *malformed_count)
 {
   json_t *elements = json_array ();
   gsize at = 0;
@@ -141,7 +144,7 @@
       if (!value)
         {
           gsize next = S_find_next_element (format, list, text, at);
-          value = format->save (list, (MrText){ .data = text.data + at, .len = next - at });
+          value = format->salvage (list, (MrText){ .data = text.data + at, .len = next - at });
           at = next;
           (*malformed_count)++;
         }
@@ -152,7 +155,7 @@
 }
 
 static json_t *
-S_load_list (const MrJsonPage *format, const char *list, MrText text, guint *malformed_count)
+S_load_list (const MrJsonPageFormat *format, const char *list, MrText text, guint *malformed_count)
 {
   gsize begin = S_find_value (text, list);
   gsize end = 0;
@@ -168,10 +171,10 @@
 }
 
 json_t *
-mr_json_page_load (const MrJsonPage *format, MrText text, guint *malformed_count)
+mr_json_page_load (const MrJsonPageFormat *format, MrText text, guint *malformed_count)
 {
   json_t *root = json_loadb (text.data, text.len, 0, NULL);
-  for (const char *const *list = format->lists; !root && *list; list++)
+  for (const char *const *list = format->array_names; !root && *list; list++)
     root = S_load_list (format, *list, text, malformed_count);
   if (json_is_object (root))
     return root;
--- a/src/json_page.h
+++ b/src/json_page.h
@@ -9,18 +9,18 @@
 
 typedef struct
 {
-  const char *const *lists; /* names of the arrays that a page may contain; NULL-terminated */
+  const char *const *array_names; /* names of the arrays that a page may contain; NULL-terminated */
   /* Returns TRUE if @value is a possible element of the array @list.  The next such value marks the
    * end of a malformed element. */
   gboolean (*is_element) (const char *list, const json_t *value);
   /* Returns a replacement for the malformed element with the text @malformed, or NULL to omit it.
    */
-  json_t *(*save) (const char *list, MrText malformed);
-} MrJsonPage;
+  json_t *(*salvage) (const char *list, MrText malformed);
+} MrJsonPageFormat;
 
 /* Returns the page as a JSON object, or NULL if @text is no object or the end of its list can't be
  * found.  Adds the number of malformed elements to @malformed_count. */
-json_t *mr_json_page_load (const MrJsonPage *format, MrText text, guint *malformed_count);
+json_t *mr_json_page_load (const MrJsonPageFormat *format, MrText text, guint *malformed_count);
 
 /* Returns the value of the first member called @name in @text at any depth, or NULL if there is
  * none or it is malformed.  The rest of @text need not be valid JSON. */
--- a/src/main.c
+++ b/src/main.c
@@ -20,7 +20,7 @@
       mr_settings_clear (&settings);
       return EXIT_SETTINGS;
     }
-  if (settings.check)
+  if (settings.check_only)
     puts ("settings are valid");
   else
     status = mr_daemon_run (&settings);
--- a/src/operator_pages.c
+++ b/src/operator_pages.c
@@ -37,7 +37,7 @@
 }
 
 GString *
-mr_page_status (const MrEntryContext *context, const MrOperatorCounts *activity)
+mr_page_status (const MrEntryContext *context, const MrEntryActivity *activity)
 {
   const MrView *view = context->view;
   GString *out = g_string_new (NULL);
@@ -106,7 +106,7 @@
                           document->service, document->objective_latency_ms,
                           document->objective_latency, document->objective_coverage,
                           document->objective_refused);
-  for (guint window = 0; window < MR_BURN_WINDOWS; window++)
+  for (guint window = 0; window < MR_BURN_WINDOW_COUNT; window++)
     {
       MrBurnCounts counts = mr_burn_counts (context->burn, now, document->service, window);
       g_string_append_printf (
--- a/src/operator_pages.h
+++ b/src/operator_pages.h
@@ -9,9 +9,9 @@
   guint searches; /* in progress */
   guint orders;   /* in progress */
   gboolean leaving;
-} MrOperatorCounts;
+} MrEntryActivity;
 
-GString *mr_page_status (const MrEntryContext *context, const MrOperatorCounts *activity);
+GString *mr_page_status (const MrEntryContext *context, const MrEntryActivity *activity);
 GString *mr_page_members (const MrEntryContext *context);
 GString *mr_page_burn (const MrEntryContext *context, MrTime now);
 GString *mr_page_metrics (const MrEntryContext *context);
--- a/src/relay_task.c
+++ b/src/relay_task.c
@@ -255,7 +255,7 @@
   task->early_requests = mr_startup_queue_new (mr_now ());
   task->cold_share = mr_cold_share_new (
       settings->base.domain, settings->regions ? g_hash_table_size (settings->regions) : 0);
-  task->content_key = mr_settings_content_key (&settings->base);
+  task->content_key = mr_settings_content_key_hash (&settings->base);
   mr_relay_request_init (task);
   mr_relay_pages_init (task);
   task->loop = mr_loop_new (&task->loop_host, (guint) settings->max_descriptors);
--- a/src/searches.c
+++ b/src/searches.c
@@ -206,7 +206,7 @@
   MrEntryContext *context = searches->context;
   const MrShardMap *map = mr_query_map (search->query);
   gboolean refused = mr_result_ran (answer->result) == MR_RAN_NO;
-  MrBurnEvent event = {
+  MrBurnOutcome event = {
     .refused = refused,
     .slow = !refused && now - search->received_at > search->latency_objective,
     .uncovered = answer->result == MR_RESULT_PARTIAL,
--- a/src/settings.c
+++ b/src/settings.c
@@ -233,7 +233,7 @@
   CommandLine command_line = { 0 };
   *settings = (MrSettings){ 0 };
   argp_parse (&argp, argc, argv, 0, NULL, &command_line);
-  settings->check = command_line.check;
+  settings->check_only = command_line.check;
   MrStatus status = MR_OK;
   for (size_t i = 0; i < G_N_ELEMENTS (settings_table); i++)
     {
@@ -261,7 +261,7 @@
 }
 
 guint64
-mr_settings_content_key (const MrSettings *settings)
+mr_settings_content_key_hash (const MrSettings *settings)
 {
   const char *text = settings->content_key ? settings->content_key : "";
   return XXH3_64bits (text, strlen (text));
--- a/src/settings.h
+++ b/src/settings.h
@@ -26,7 +26,7 @@
   int capacity;        /* CPU available to this daemon, in thousandths of a core; 0: unknown */
   char *content_key;   /* key for fingerprints of requests, as text; the same on all daemons */
   int log_level;       /* syslog severity: 3 error to 7 debug */
-  gboolean check;      /* only check the settings, then exit */
+  gboolean check_only; /* only check the settings, then exit */
   /* The whole fleet starts for the first time, so no callers are waiting; FALSE if that is
    * unknown. */
   gboolean first_start;
@@ -40,7 +40,7 @@
 
 /* Hash of content_key, which keys fingerprints.  Daemons compare fingerprints with each other, so
  * it must not depend on any setting that differs between daemons. */
-guint64 mr_settings_content_key (const MrSettings *settings);
+guint64 mr_settings_content_key_hash (const MrSettings *settings);
 
 /* Splits "ip:port" with a numeric IPv4 address.  The caller frees @ip. */
 MrStatus mr_settings_split_address (const char *text, char **ip, int *port);
--- a/src/wire.h
+++ b/src/wire.h
@@ -87,7 +87,7 @@
   MrTrafficClass traffic_class;
   guint top_k;
   MrBatchPolicy policy;
-  MrText query;
+  MrText payload;
   guint shard_count;
   guint *shards;
 } MrWireBatch;
--- a/src/wire_decode.c
+++ b/src/wire_decode.c
@@ -262,7 +262,7 @@
   batch->policy.hedge_quantile = S_read_double (r, 0, 1);
   batch->policy.target_limit = (guint) S_read_unsigned (r, 10000);
   batch->policy.owner_count = (guint) S_read_unsigned (r, 64);
-  batch->query = S_read_text (r);
+  batch->payload = S_read_text (r);
   batch->shards = S_read_indices (r, &batch->shard_count);
 }
 
--- a/test/fleet.c
+++ b/test/fleet.c
@@ -144,7 +144,7 @@
   guint32 seed = (guint32) node->self.incarnation;
   node->membership = mr_membership_new (&node->membership_host, &node->self, seed);
   node->registry = mr_registry_new ();
-  node->spread = mr_replication_new (&node->replication_host, node->registry, node->self.name);
+  node->replication = mr_replication_new (&node->replication_host, node->registry, node->self.name);
   node->roster = mr_roster_new ();
   mr_roster_put (node->roster, &node->self);
   node->watcher = TRUE;
@@ -167,7 +167,7 @@
   if (!node->membership)
     return;
   g_clear_pointer (&node->roster, mr_roster_free);
-  g_clear_pointer (&node->spread, mr_replication_free);
+  g_clear_pointer (&node->replication, mr_replication_free);
   g_clear_pointer (&node->registry, mr_registry_free);
   g_clear_pointer (&node->membership, mr_membership_free);
 }
@@ -302,7 +302,7 @@
 {
   FleetNode *node = user;
   if (object->version > node->store_version_seen)
-    mr_replication_offer (node->spread, object->kind, mr_text (object->name), object->version,
+    mr_replication_offer (node->replication, object->kind, mr_text (object->name), object->version,
                           mr_text_of (object->body), NULL);
 }
 
@@ -317,19 +317,19 @@
 S_tick_bootstrap (FleetNode *node)
 {
   Fleet *fleet = node->fleet;
-  gboolean synced = mr_replication_is_synced (node->spread);
+  gboolean synced = mr_replication_is_synced (node->replication);
   gboolean reaches = !fleet->store_cut[fleet_domain (fleet, node->index)];
   if (node->store_read_ends_at == 0)
     {
       const MrBootstrapState state = {
         .self = node->self.name,
         .watcher = node->watcher,
-        .fetching = mr_replication_is_fetching (node->spread, fleet->now),
+        .fetching = mr_replication_is_fetching (node->replication, fleet->now),
         .synced = synced,
       };
       MrBootstrapStep step = mr_bootstrap_step (&node->bootstrap, fleet->now, node->roster, &state);
       if (step.ask_peer)
-        mr_replication_request_list (node->spread, fleet->now, step.ask_peer->name);
+        mr_replication_request_list (node->replication, fleet->now, step.ask_peer->name);
       if (step.read_store && !synced && reaches)
         {
           node->store_read_ends_at = fleet->now + READ_TIME;
@@ -343,7 +343,7 @@
   if (read || synced)
     {
       node->ready_at = fleet->now;
-      mr_replication_set_complete (node->spread);
+      mr_replication_set_complete (node->replication);
       mr_membership_set_busy (node->membership, fleet->now, FALSE);
     }
   else if (node->store_read_ends_at != 0)
@@ -356,7 +356,7 @@
   Fleet *fleet = node->fleet;
   MrTime now = fleet->now;
   MrTime next = MIN (now + MR_SECOND, mr_membership_tick (node->membership, now));
-  node->due = MIN (next, mr_replication_tick (node->spread, now));
+  node->due = MIN (next, mr_replication_tick (node->replication, now));
   if (node->ready_at == 0)
     S_tick_bootstrap (node);
 }
@@ -388,12 +388,12 @@
   if (message.type == MR_WIRE_HEARTBEAT || message.type == MR_WIRE_MEMBERS)
     {
       mr_membership_receive (node->membership, fleet->now, &message.heartbeat);
-      mr_replication_receive_digest (node->spread, fleet->now, message.sender,
+      mr_replication_receive_digest (node->replication, fleet->now, message.sender,
                                      message.heartbeat.registry_digest,
                                      message.heartbeat.from.busy);
     }
   else
-    mr_replication_receive (node->spread, fleet->now, &message);
+    mr_replication_receive (node->replication, fleet->now, &message);
   mr_wire_message_clear (&message);
   node->due = 0;
 }
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -23,7 +23,7 @@
   MrMember self;
   MrMembership *membership; /* NULL: not running */
   MrRegistry *registry;
-  MrReplication *spread;
+  MrReplication *replication;
   MrRoster *roster;
   gboolean watcher; /* according to its current view of the members */
   MrBootstrap bootstrap;
--- a/test/test_control.c
+++ b/test/test_control.c
@@ -287,7 +287,7 @@
 S_offer_evidence (Fleet *fleet, guint index)
 {
   FleetNode *node = &fleet->nodes[index];
-  mr_replication_offer (node->spread, MR_OBJECT_EVIDENCE, mr_text (content), EVIDENCE,
+  mr_replication_offer (node->replication, MR_OBJECT_EVIDENCE, mr_text (content), EVIDENCE,
                         (MrText){ 0 }, NULL);
   node->due = 0;
 }
--- a/test/test_decisions.c
+++ b/test/test_decisions.c
@@ -342,8 +342,8 @@
 {
   (void) state;
   MrBurn *burn = mr_burn_new (0);
-  MrBurnEvent slow = { .slow = TRUE, .target = "t1", .domain = "a" };
-  MrBurnEvent fine = { 0 };
+  MrBurnOutcome slow = { .slow = TRUE, .target = "t1", .domain = "a" };
+  MrBurnOutcome fine = { 0 };
   for (int i = 0; i < 98; i++)
     mr_burn_add (burn, 1000 * MR_SECOND, "shop", &fine);
   mr_burn_add (burn, 1000 * MR_SECOND, "shop", &slow);
@@ -352,10 +352,10 @@
   assert_int_equal (c.total, 100);
   assert_int_equal (c.slow, 2);
   MrBurnRate rate = mr_burn_rate (c.slow, c.total, 0.01, 3600);
-  assert_true (fabs (rate.rate - 2) < 1e-9);
+  assert_true (fabs (rate.burn_rate - 2) < 1e-9);
   assert_true (fabs (rate.budget_left + 1) < 1e-9);
   rate = mr_burn_rate (1, 200, 0.01, 7200);
-  assert_true (fabs (rate.rate - 0.5) < 1e-9);
+  assert_true (fabs (rate.burn_rate - 0.5) < 1e-9);
   assert_true (fabs (rate.hours_to_empty - 2) < 1e-9);
   /* No longer in the 5 minutes, still in the hour. */
   assert_int_equal (mr_burn_counts (burn, 1400 * MR_SECOND, "shop", 0).total, 0);
--- a/test/test_evacuation.c
+++ b/test/test_evacuation.c
@@ -78,7 +78,7 @@
       if (!node->membership || !node->watcher ||
           fleet->store_cut[fleet_domain (fleet, node->index)])
         continue;
-      mr_replication_offer (node->spread, MR_OBJECT_EVACUATION, mr_text (domain), version,
+      mr_replication_offer (node->replication, MR_OBJECT_EVACUATION, mr_text (domain), version,
                             (MrText){ 0 }, NULL);
       node->due = 0;
     }
