--- a/src/daemon.c
+++ b/src/daemon.c
@@ -8,7 +8,9 @@
 #include "target_task.h"
 #include "task_message.h"
 
-static const MrTime FAREWELL = 300 * MR_MS;
+/* After the entry task has stopped: time for the last heartbeat, which tells the other daemons that
+ * this one has left. */
+static const MrTime SHUTDOWN_DELAY = 300 * MR_MS;
 
 typedef struct
 {
@@ -54,7 +56,7 @@
     .incarnation = mr_entry_task_incarnation (d->entry),
     .max_connections = (guint) settings->max_connections,
     .seed = mr_process_seed (&d->process),
-    .content_key = mr_settings_content_key (settings),
+    .content_key = mr_settings_content_key_hash (settings),
   };
   d->targets = mr_target_task_new (&targets);
   d->platform = mr_platform_task_new (settings->platform_ip, settings->platform_port,
@@ -107,7 +109,7 @@
                    mr_platform_task_loop (d.platform) },
         .stop = S_on_stop,
         .user = &d,
-        .shutdown_delay = FAREWELL,
+        .shutdown_delay = SHUTDOWN_DELAY,
       };
       mr_process_run (&d.process, &tasks, settings);
     }
