--- a/test/test_docs.c
+++ b/test/test_docs.c
@@ -276,8 +276,8 @@
   } kinds[] = {
     { "(?<![\\w/*.-])[\\w/*.-]*[\\w*]\\.(c|h|cpp|hpp|sh)(?!\\w)", S_is_known_file },
     { "\\b(mr_|MR_|Mr[A-Z]|S_|test_|prop_|process_|bench_)\\w*(?!\\w)\\*?", S_is_known_word },
-    /* a private function and, in brackets, its file */
-    { "\\b(S_\\w+)`? \\(([\\w/]+\\.c)\\b", S_is_in_its_file },
+    /* any name of the code and, in brackets, its file */
+    { "(?|`(\\w+)`|\\b(S_\\w+))\\s+\\(([\\w/]+\\.c)\\b", S_is_in_its_file },
   };
   (void) state;
   GPtrArray *code = S_list_files (code_paths, G_N_ELEMENTS (code_paths));
