--- a/bench/bench_control.c
+++ b/bench/bench_control.c
@@ -115,7 +115,7 @@
   double cpu = S_cpu_seconds ();
   fleet_run (fleet, IDLE_SECONDS * MR_SECOND);
   cpu = S_cpu_seconds () - cpu;
-  double each = count * (double) IDLE_SECONDS;
+  double daemon_seconds = count * (double) IDLE_SECONDS;
   double bytes = S_wire_bytes (fleet, FALSE);
   double across = S_wire_bytes (fleet, TRUE);
   double messages = S_count_messages (fleet);
@@ -125,8 +125,9 @@
   MrTime death = fleet_run_until (fleet, fleet_members_agree, WAIT_MAX);
   guint watchers = S_count_watchers (fleet);
   printf ("%7u %9.2f %9.0f %9.0f %9.1f %9.3f %9.2f %9.2f %9u %10.0f\n", count,
-          S_to_seconds (converged), bytes / each, across / each, messages / each, cpu / each * 100,
-          S_to_seconds (change), S_to_seconds (death), watchers, S_relay_calls (fleet, watchers));
+          S_to_seconds (converged), bytes / daemon_seconds, across / daemon_seconds,
+          messages / daemon_seconds, cpu / daemon_seconds * 100, S_to_seconds (change),
+          S_to_seconds (death), watchers, S_relay_calls (fleet, watchers));
   fleet_free (fleet);
 }
 
@@ -168,18 +169,19 @@
   MrTime replaced = fleet_run_until (fleet, fleet_objects_agree, WAIT_MAX);
   fleet_run (fleet, 20 * MR_SECOND);
   S_kill_rack (fleet);
-  MrTime rack = fleet_run_until (fleet, fleet_members_agree, WAIT_MAX);
+  MrTime rack_detected = fleet_run_until (fleet, fleet_members_agree, WAIT_MAX);
   fleet_run (fleet, 20 * MR_SECOND);
   fleet_cut_regions (fleet, TRUE);
   fleet_run (fleet, 30 * MR_SECOND);
   fleet_cut_regions (fleet, FALSE);
   MrTime healed = fleet_run_until (fleet, fleet_converged, WAIT_MAX);
   fleet_run (fleet, 20 * MR_SECOND);
-  double each = count * S_to_seconds (fleet->now - begin_time);
+  double daemon_seconds = count * S_to_seconds (fleet->now - begin_time);
   printf ("%7u %9.2f %9.2f %9.2f %9.2f %9.2f %9.0f %9.0f %9" G_GUINT64_FORMAT "\n", count,
           S_to_seconds (all_ready), S_to_seconds (started), S_to_seconds (replaced),
-          S_to_seconds (rack), S_to_seconds (healed), S_wire_bytes (fleet, FALSE) / each,
-          S_wire_bytes (fleet, TRUE) / each, fleet->store_reads);
+          S_to_seconds (rack_detected), S_to_seconds (healed),
+          S_wire_bytes (fleet, FALSE) / daemon_seconds, S_wire_bytes (fleet, TRUE) / daemon_seconds,
+          fleet->store_reads);
   printf ("        kB for each daemon, inside/across domains:");
   for (int kind = 0; kind < MR_TRAFFIC_KINDS; kind++)
     if (fleet->messages[kind][0] + fleet->messages[kind][1] > 0)
--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -67,7 +67,7 @@
 
 /* Median, minimum and maximum of one column over the seeds. */
 static void
-S_spread (const Row *rows, size_t offset, double out[3])
+S_median_and_range (const Row *rows, size_t offset, double out[3])
 {
   double values[REPEATS];
   for (int i = 0; i < REPEATS; i++)
@@ -81,9 +81,9 @@
 static double
 S_median (const Row *rows, size_t offset)
 {
-  double spread[3];
-  S_spread (rows, offset, spread);
-  return spread[0];
+  double summary[3];
+  S_median_and_range (rows, offset, summary);
+  return summary[0];
 }
 
 #define MEDIAN(rows, column) S_median ((rows), offsetof (Row, column))
@@ -104,7 +104,7 @@
 S_print (const char *scenario, MrSearchSimPolicy policy, const Row *rows)
 {
   double p99[3];
-  S_spread (rows, offsetof (Row, p99), p99);
+  S_median_and_range (rows, offsetof (Row, p99), p99);
   printf (
       "%-22s %-20s %7.1f %7.1f [%6.1f %6.1f] %7.1f %8.4f %8.4f %7.1f%% %7.2f %7.4f %7.0f %4.0f\n",
       scenario, policy_names[policy], MEDIAN (rows, p50), p99[0], p99[1], p99[2],
@@ -241,8 +241,8 @@
       if (row.complete > 0.99)
         capacity = rate;
     }
-  printf ("\ntoday's shape, owners: highest rate with 99 %% complete: %.0f/s\n", capacity);
-  printf ("%6s %9s %9s %9s %9s %9s\n", "load", "good/s", "of 1x", "urgent", "extra", "ran!");
+  printf ("\nshop search, owners: highest rate with 99 %% complete: %.0f/s\n", capacity);
+  printf ("%6s %9s %9s %9s %9s %9s\n", "load", "good/s", "of 1x", "urgent", "extra", "violated");
   double base_goodput = 0;
   static const double load_factors[] = { 0.5, 1, 2, 4 };
   for (size_t s = 0; s < G_N_ELEMENTS (load_factors); s++)
@@ -276,7 +276,7 @@
   MrSearchSimConfig wide = mr_search_sim_wide_config ();
   if (scenario_filter[0] == '\0')
     S_load_steps ();
-  S_run_scenarios ("today's shop search", &shop);
+  S_run_scenarios ("shop search", &shop);
   S_run_scenarios ("wide", &wide);
   return EXIT_SUCCESS;
 }
--- a/bench/bench_relay.c
+++ b/bench/bench_relay.c
@@ -22,7 +22,7 @@
 } Scenario;
 
 static const Scenario scenarios[] = {
-  { "calm", { SITE } },
+  { "no fault", { SITE } },
   { "1/6 of targets slow", { SITE, .faults = { { SIM_FAULT_SLOW, 0, 29, 6, 3000, 0, 8 } } } },
   { "a shard unresponsive",
     { SITE, .faults = { { SIM_FAULT_UNRESPONSIVE, 0, 2, 1, 3000, 0, 0 } } } },
@@ -71,11 +71,11 @@
 } Summary;
 
 static void
-S_add_sample (Summary *spread, guint repeat, double value)
+S_add_sample (Summary *summary, guint repeat, double value)
 {
-  spread->mean += value / REPEATS;
-  spread->minimum = repeat == 0 ? value : MIN (spread->minimum, value);
-  spread->maximum = repeat == 0 ? value : MAX (spread->maximum, value);
+  summary->mean += value / REPEATS;
+  summary->minimum = repeat == 0 ? value : MIN (summary->minimum, value);
+  summary->maximum = repeat == 0 ? value : MAX (summary->maximum, value);
 }
 
 static void
@@ -97,10 +97,10 @@
       guint refused_count = 0;
       for (guint k = 0; k < ROUTES; k++)
         {
-          const SimRouteStats *kind = &result.routes[k];
-          S_add_sample (&utility[k], repeat, kind->utility / MAX (kind->requests, 1));
-          requests += kind->requests;
-          refused_count += kind->refused;
+          const SimRouteStats *stats = &result.routes[k];
+          S_add_sample (&utility[k], repeat, stats->utility / MAX (stats->requests, 1));
+          requests += stats->requests;
+          refused_count += stats->refused;
         }
       double first_calls = (double) MAX (result.first_calls, 1);
       S_add_sample (&refused, repeat, (double) refused_count / MAX (requests, 1));
--- a/bench/search_sim.c
+++ b/bench/search_sim.c
@@ -135,7 +135,7 @@
 /* Events. */
 
 static gboolean
-S_before (const Event *a, const Event *b)
+S_is_before (const Event *a, const Event *b)
 {
   return a->at != b->at ? a->at < b->at : a->sequence < b->sequence;
 }
@@ -149,7 +149,7 @@
   e->sequence = ++sim->sequence;
   g_ptr_array_add (sim->heap, e);
   guint i = sim->heap->len - 1;
-  while (i > 0 && S_before (e, sim->heap->pdata[(i - 1) / 2]))
+  while (i > 0 && S_is_before (e, sim->heap->pdata[(i - 1) / 2]))
     {
       sim->heap->pdata[i] = sim->heap->pdata[(i - 1) / 2];
       i = (i - 1) / 2;
@@ -169,9 +169,9 @@
   while (count > 0 && 2 * i + 1 < count)
     {
       guint child = 2 * i + 1;
-      if (child + 1 < count && S_before (sim->heap->pdata[child + 1], sim->heap->pdata[child]))
+      if (child + 1 < count && S_is_before (sim->heap->pdata[child + 1], sim->heap->pdata[child]))
         child++;
-      if (!S_before (sim->heap->pdata[child], last))
+      if (!S_is_before (sim->heap->pdata[child], last))
         break;
       sim->heap->pdata[i] = sim->heap->pdata[child];
       i = child;
@@ -531,7 +531,7 @@
 }
 
 static gboolean
-S_between (MrTime now, MrTime from, MrTime until)
+S_is_within (MrTime now, MrTime from, MrTime until)
 {
   return now >= from && now < until;
 }
@@ -543,7 +543,7 @@
   SearchSim *sim = owner->sim;
   guint index = S_target_index (sim, state);
   const MrSearchSimFault *fault = &sim->targets[index].fault;
-  gboolean down = S_between (sim->now, fault->down_from, fault->down_until);
+  gboolean down = S_is_within (sim->now, fault->down_from, fault->down_until);
   Event event = { .kind = EVENT_PROBE_END, .daemon = owner->index, .target = index, .id = !down };
   S_push (sim, sim->now + sim->config->connect_time + 2 * sim->config->target_delay, event);
 }
@@ -565,9 +565,9 @@
   MrTime target_delay = sim->config->target_delay;
   if (call->cancelled)
     return;
-  if (S_between (sim->now, fault->down_from, fault->down_until))
+  if (S_is_within (sim->now, fault->down_from, fault->down_until))
     S_end_call (sim, call, MR_CALL_NOT_CONNECTED, target_delay);
-  else if (S_between (sim->now, fault->silent_from, fault->silent_until) &&
+  else if (S_is_within (sim->now, fault->silent_from, fault->silent_until) &&
            target->reconnected_at < fault->silent_from)
     return; /* the request is lost */
   else if (sim->now >= fault->leaving_from)
@@ -597,7 +597,7 @@
     return;
   call->running = FALSE;
   target->busy_slots--;
-  gboolean down = S_between (sim->now, target->fault.down_from, target->fault.down_until);
+  gboolean down = S_is_within (sim->now, target->fault.down_from, target->fault.down_until);
   if (down || S_random_event (sim, target->fault.broken_share))
     S_end_call (sim, call, MR_CALL_BROKEN, sim->config->target_delay);
   else
--- a/bench/search_sim.h
+++ b/bench/search_sim.h
@@ -65,7 +65,7 @@
   double rate; /* queries per second, over all daemons */
   MrTime duration;
   MrTime deadline;
-  MrTime fixed_timeout; /* of MR_WORLD_TIMEOUT */
+  MrTime fixed_timeout; /* of MR_SEARCH_SIM_TIMEOUT */
   double class_share[MR_TRAFFIC_CLASS_COUNT];
   double extra_calls;
   guint top_k;
--- a/demo/demo.sh
+++ b/demo/demo.sh
@@ -33,8 +33,8 @@
 
 say "== the same search while the only searcher of shard-11 is down"
 stop shop-2 KILL
-lost() { search 1 shop-search ripe | grep -q '"complete":false,"missing":\["shard-11"\]'; }
-until_true 10 lost || fail "the response does not list the missing shard"
+shard_missing() { search 1 shop-search ripe | grep -q '"complete":false,"missing":\["shard-11"\]'; }
+until_true 10 shard_missing || fail "the response does not list the missing shard"
 ctl search --deadline-ms 500 --hits 3 shop-search ripe round
 [ $? -eq 6 ] || fail "a partial answer should exit with 6"
 start_searcher shop-2 $((SHOP_PORT + 2)) 1 5 40 6000
--- a/demo/platformd.c
+++ b/demo/platformd.c
@@ -54,7 +54,7 @@
   MrHttpServer *server;
   GHashTable *kinds; /* kind -> GHashTable of name -> Object */
   GPtrArray *vms;
-  GPtrArray *waiting;
+  GPtrArray *delayed_replies;
   guint64 revision;
   guint64 calls;
   guint64 writes;
@@ -84,11 +84,11 @@
 static void
 S_delayed_reply_free (gpointer data)
 {
-  DelayedReply *waiting = data;
-  g_free (waiting->kind);
-  if (waiting->body)
-    g_string_free (waiting->body, TRUE);
-  g_free (waiting);
+  DelayedReply *delayed = data;
+  g_free (delayed->kind);
+  if (delayed->body)
+    g_string_free (delayed->body, TRUE);
+  g_free (delayed);
 }
 
 static GHashTable *
@@ -110,12 +110,12 @@
   json_decref (root);
   if (p->slow_ms > 0)
     {
-      DelayedReply *waiting = g_new0 (DelayedReply, 1);
-      waiting->id = id;
-      waiting->due = mr_now () + p->slow_ms * MR_MS;
-      waiting->status = status;
-      waiting->body = g_string_new (text);
-      g_ptr_array_add (p->waiting, waiting);
+      DelayedReply *delayed = g_new0 (DelayedReply, 1);
+      delayed->id = id;
+      delayed->due = mr_now () + p->slow_ms * MR_MS;
+      delayed->status = status;
+      delayed->body = g_string_new (text);
+      g_ptr_array_add (p->delayed_replies, delayed);
     }
   else
     {
@@ -191,22 +191,22 @@
     }
   json_decref (root);
   p->watches++;
-  DelayedReply *waiting = g_new0 (DelayedReply, 1);
-  waiting->id = request->id;
-  waiting->due = mr_now () + (MrTime) wait_ms * MR_MS;
-  waiting->kind = g_strdup (kind);
-  waiting->since = since;
-  g_ptr_array_add (p->waiting, waiting);
+  DelayedReply *delayed = g_new0 (DelayedReply, 1);
+  delayed->id = request->id;
+  delayed->due = mr_now () + (MrTime) wait_ms * MR_MS;
+  delayed->kind = g_strdup (kind);
+  delayed->since = since;
+  g_ptr_array_add (p->delayed_replies, delayed);
 }
 
 static void
 S_wake_watches (Platform *p, const char *kind)
 {
-  for (guint i = 0; i < p->waiting->len; i++)
+  for (guint i = 0; i < p->delayed_replies->len; i++)
     {
-      DelayedReply *waiting = g_ptr_array_index (p->waiting, i);
-      if (waiting->kind && g_str_equal (waiting->kind, kind))
-        waiting->due = 0;
+      DelayedReply *delayed = g_ptr_array_index (p->delayed_replies, i);
+      if (delayed->kind && g_str_equal (delayed->kind, kind))
+        delayed->due = 0;
     }
 }
 
@@ -386,19 +386,19 @@
 
 /* Sends a delayed reply that is due. */
 static void
-S_send_delayed_reply (Platform *p, DelayedReply *waiting)
+S_send_delayed_reply (Platform *p, DelayedReply *delayed)
 {
   if (p->down)
-    mr_http_server_drop (p->server, waiting->id);
-  else if (waiting->kind)
+    mr_http_server_drop (p->server, delayed->id);
+  else if (delayed->kind)
     {
       guint count = 0;
-      S_reply (p, waiting->id, 200, S_list_json (p, waiting->kind, waiting->since, &count));
+      S_reply (p, delayed->id, 200, S_list_json (p, delayed->kind, delayed->since, &count));
     }
   else
     {
-      MrHttpReply reply = { .status = waiting->status, .body = mr_text_of (waiting->body) };
-      mr_http_server_reply (p->server, waiting->id, &reply);
+      MrHttpReply reply = { .status = delayed->status, .body = mr_text_of (delayed->body) };
+      mr_http_server_reply (p->server, delayed->id, &reply);
     }
 }
 
@@ -407,17 +407,17 @@
 {
   Platform *p = (Platform *) handler;
   MrTime next = MR_NEVER;
-  for (guint i = p->waiting->len; i > 0; i--)
+  for (guint i = p->delayed_replies->len; i > 0; i--)
     {
-      DelayedReply *waiting = g_ptr_array_index (p->waiting, i - 1);
-      if (waiting->due > now && !p->down)
+      DelayedReply *delayed = g_ptr_array_index (p->delayed_replies, i - 1);
+      if (delayed->due > now && !p->down)
         {
-          next = MIN (next, waiting->due);
+          next = MIN (next, delayed->due);
           continue;
         }
-      waiting = g_ptr_array_steal_index_fast (p->waiting, i - 1);
-      S_send_delayed_reply (p, waiting);
-      S_delayed_reply_free (waiting);
+      delayed = g_ptr_array_steal_index_fast (p->delayed_replies, i - 1);
+      S_send_delayed_reply (p, delayed);
+      S_delayed_reply_free (delayed);
     }
   return next;
 }
@@ -461,7 +461,7 @@
     .kinds = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                     (GDestroyNotify) g_hash_table_unref),
     .vms = g_ptr_array_new (),
-    .waiting = g_ptr_array_new (),
+    .delayed_replies = g_ptr_array_new (),
     .revision = 100,
     .vms_lag = opt_lag_ms * MR_MS,
   };
--- a/demo/searcherd.c
+++ b/demo/searcherd.c
@@ -107,10 +107,10 @@
 static void
 S_active_call_free (gpointer data)
 {
-  ActiveCall *job = data;
-  g_free (job->call_id);
-  g_string_free (job->reply, TRUE);
-  g_free (job);
+  ActiveCall *call = data;
+  g_free (call->call_id);
+  g_string_free (call->reply, TRUE);
+  g_free (call);
 }
 
 static void
@@ -157,13 +157,13 @@
 S_start_call (Searcher *s, const MrHttpRequest *request, GString *reply)
 {
   MrTime now = mr_now ();
-  ActiveCall *job = g_new0 (ActiveCall, 1);
-  job->http_id = request->id;
-  job->call_id = g_strdup (mr_http_query_arg (request, "id", ""));
-  job->due = now + S_service_time (s, now) + (request->first_on_connection ? opt.connect_us : 0);
-  job->reply = reply;
-  job->silent = s->silent;
-  g_ptr_array_add (s->active_calls, job);
+  ActiveCall *call = g_new0 (ActiveCall, 1);
+  call->http_id = request->id;
+  call->call_id = g_strdup (mr_http_query_arg (request, "id", ""));
+  call->due = now + S_service_time (s, now) + (request->first_on_connection ? opt.connect_us : 0);
+  call->reply = reply;
+  call->silent = s->silent;
+  g_ptr_array_add (s->active_calls, call);
 }
 
 static void
@@ -228,11 +228,11 @@
   const char *id = mr_http_query_arg (request, "id", "");
   for (guint i = 0; i < s->active_calls->len; i++)
     {
-      ActiveCall *job = g_ptr_array_index (s->active_calls, i);
-      if (!g_str_equal (job->call_id, id) || job->silent)
+      ActiveCall *call = g_ptr_array_index (s->active_calls, i);
+      if (!g_str_equal (call->call_id, id) || call->silent)
         continue;
       s->cancelled++;
-      S_reply (s, job->http_id, 499, "{\"error\":\"cancelled\",\"ran\":true}");
+      S_reply (s, call->http_id, 499, "{\"error\":\"cancelled\",\"ran\":true}");
       g_ptr_array_remove_index_fast (s->active_calls, i);
       break;
     }
@@ -348,15 +348,15 @@
   MrTime next = MR_NEVER;
   for (guint i = s->active_calls->len; i > 0; i--)
     {
-      ActiveCall *job = g_ptr_array_index (s->active_calls, i - 1);
-      if (job->silent)
+      ActiveCall *call = g_ptr_array_index (s->active_calls, i - 1);
+      if (call->silent)
         continue;
-      if (job->due > now)
+      if (call->due > now)
         {
-          next = MIN (next, job->due);
+          next = MIN (next, call->due);
           continue;
         }
-      S_reply (s, job->http_id, 200, job->reply->str);
+      S_reply (s, call->http_id, 200, call->reply->str);
       g_ptr_array_remove_index_fast (s->active_calls, i - 1);
     }
   return next;
--- a/test/platform/standin.c
+++ b/test/platform/standin.c
@@ -7,7 +7,7 @@
  * A searcher responds to every request with its signature and the caller's request id.  It
  * exits CRASH_DELAY after it has started a request whose path contains "crash", unless the
  * connection closes first.  With "crash-late" the connection closes
- * LISTENER_CLOSE_DELAY current the listener, as can happen on a busy machine.
+ * LISTENER_CLOSE_DELAY before the listener, as can happen on a busy machine.
  *
  * PUT /mode/NAME sets a fault of either.  For the store, "slow" and "error" affect only
  * listings of quarantines, and "shed" leaves all reads but those of configurations
@@ -51,7 +51,7 @@
   MODE_RESET,  /* runs the request, then closes the connection without a response */
   MODE_EXTRA,  /* repeats the previous response after each response */
   MODE_SLOW,   /* responds after SLOW_DELAY */
-  MODE_LATE,   /* repeats the previous response current each response */
+  MODE_LATE,   /* repeats the previous response before each response */
   MODE_ERROR,  /* responds 500 with a signature */
   MODE_BUSY,   /* runs, then responds 503 with a signature and without X-Not-Executed */
   MODE_HUGE,   /* announces a response of HUGE_BYTES */
@@ -75,7 +75,7 @@
   MrTimer timer; /* of a delayed response */
   gboolean dripping;
   gboolean crashing;             /* the process exits when the timer is due */
-  gboolean closes_listener_late; /* closes this connection current the listener */
+  gboolean closes_listener_late; /* closes this connection before the listener */
   char *kind;                    /* of a pending watch or listing */
   gboolean listing;
   gint64 since;
