--- a/test/core.hpp
+++ b/test/core.hpp
@@ -40,9 +40,9 @@
   }
 };
 
-// Checks that a property test can fail, since one that cannot proves nothing: returns true if the
-// test finds a violation for one of the seeds 1 to @seeds while the safeguard is off.  @run takes a
-// seed and returns a description of the violation, or an empty string.
+// Checks that a property test can fail, as a test that never fails proves nothing: returns true if
+// the test finds a violation for one of the seeds 1 to @seeds while the safeguard is off.  @run
+// takes a seed and returns a description of the violation, or an empty string.
 template <typename Run>
 bool
 fails_without (const char *what, MrGuard guard, guint32 seeds, Run run)
@@ -56,7 +56,7 @@
       std::printf ("without the safeguard '%s': %s, at seed %u\n", what, violation.c_str (), seed);
       return true;
     }
-  std::printf ("without the safeguard '%s': NOT BROKEN\n", what);
+  std::printf ("without the safeguard '%s': no violation found\n", what);
   return false;
 }
 
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -29,7 +29,7 @@
   MrBootstrap bootstrap;
   MrTime start_at; /* MR_NEVER: no start is scheduled */
   MrTime due;
-  MrTime store_read_ends_at; /* 0: not begun */
+  MrTime store_read_ends_at; /* 0: not started */
   MrTime ready_at;           /* 0: not yet */
   gboolean frozen;
   MrTime bodies_arrive_at;    /* when the last message with object bodies has arrived */
--- a/test/platform/process_explain.sh
+++ b/test/platform/process_explain.sh
@@ -55,7 +55,7 @@
 grep -Eq "x +late, soft-end +4 +3.9 +7.22%" "$LOGS/sampled-report.txt" || fail "late: $(cat "$LOGS/sampled-report.txt")"
 grep -q "refused attempts" "$LOGS/report.txt" || fail "report: $(cat "$LOGS/report.txt")"
 grep -q "failed broken" "$LOGS/report.txt" || fail "report: $(cat "$LOGS/report.txt")"
-explain nobody >/dev/null 2>&1 && fail "an unknown id is explained"
+explain no-such-request >/dev/null 2>&1 && fail "an unknown id is explained"
 mode "$(searcher_at 1)" ok
 mode "$(searcher_at 2)" ok
 
--- a/test/platform/test_store.c
+++ b/test/platform/test_store.c
@@ -142,7 +142,7 @@
       TRUE },
     { "unknown field",
       "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":5,\"state\":\"ready\",\"x\":[1]}", TRUE },
-    { "unknown state", "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":5,\"state\":\"asleep\"}",
+    { "unknown state", "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":5,\"state\":\"unknown\"}",
       FALSE },
     { "state of another type", "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":5,\"state\":1}",
       FALSE },
@@ -190,7 +190,7 @@
     { "start below zero",
       "{" SERVICE_AND_ADDRESS OTHER_FIELDS ",\"slots\":5,\"state\":\"ready\",\"born\":-4}", FALSE },
     { "empty", "{}", FALSE },
-    { "no object", "[]", FALSE },
+    { "not an object", "[]", FALSE },
     { "text", "\"ready\"", FALSE },
     { "null", "null", FALSE },
   };
@@ -286,9 +286,9 @@
   static const Case cases[] = {
     { "list", 200, "{\"items\":[],\"has_more\":false,\"store_revision\":3}", MR_OK, FALSE },
     { "history gone", 410, "", MR_OK, TRUE },
-    { "over the rate", 429, "{}", MR_ERROR_UNAVAILABLE, FALSE },
+    { "rate limited", 429, "{}", MR_ERROR_UNAVAILABLE, FALSE },
     { "unavailable", 503, "", MR_ERROR_UNAVAILABLE, FALSE },
-    { "cut", 200, "{\"items\":[", MR_ERROR_UNAVAILABLE, FALSE },
+    { "truncated", 200, "{\"items\":[", MR_ERROR_UNAVAILABLE, FALSE },
     { "no revision", 200, "{}", MR_ERROR_UNAVAILABLE, FALSE },
     { "not an object", 200, "[]", MR_ERROR_UNAVAILABLE, FALSE },
   };
--- a/test/prop_membership.cpp
+++ b/test/prop_membership.cpp
@@ -1,7 +1,7 @@
 // Members agree once faults end: running members are seen as alive, others are not.
 //
 // Runs the real membership module of up to 12 members, or 25 in two failure domains, over a
-// simulated network with kills, restarts, freezes, one-way cuts, a split in two, and jumps of the
+// simulated network with kills, restarts, freezes, one-way cuts, partitions, and jumps of the
 // time of day.
 
 #include "core.hpp"
@@ -13,12 +13,12 @@
 namespace
 {
 
-struct World;
+struct Simulation;
 
 struct Node
 {
   MrMembershipHost host; // must be the first field
-  World *world = nullptr;
+  Simulation *simulation = nullptr;
   int index = 0;
   MrMembership *membership = nullptr;
   bool alive = false;
@@ -28,20 +28,20 @@
   std::deque<std::string> inbox;
 };
 
-struct World
+struct Simulation
 {
   MrTime now = MR_SECOND;
   std::vector<Node> nodes;
   std::vector<std::vector<bool> > cut;
   std::vector<gint64> clock; // time of day minus steady clock, in ms
   guint64 start_count = 0;
-  int lossy = 0; // percentage of messages lost
+  int loss_percent = 0;
   GRand *random = g_rand_new_with_seed (1);
 
   int domains; // failure domains; with eight members or more each has its own rings
 
-  explicit World (int count, int domains_ = 1);
-  ~World ();
+  explicit Simulation (int count, int domains_ = 1);
+  ~Simulation ();
   void start (Node &n);
   void stop (Node &n);
   void run (MrTime until);
@@ -54,11 +54,11 @@
 {
   auto *n = reinterpret_cast<Node *> (host);
   int target = to->peer_port - 1;
-  if (n->world->cut[n->index][target] ||
-      g_rand_int_range (n->world->random, 0, 100) < n->world->lossy)
+  if (n->simulation->cut[n->index][target] ||
+      g_rand_int_range (n->simulation->random, 0, 100) < n->simulation->loss_percent)
     return;
   GString *bytes = mr_wire_heartbeat (heartbeat->from.name, heartbeat);
-  n->world->nodes[target].inbox.push_back (std::string (bytes->str, bytes->len));
+  n->simulation->nodes[target].inbox.push_back (std::string (bytes->str, bytes->len));
   g_string_free (bytes, TRUE);
 }
 
@@ -67,19 +67,19 @@
 {
 }
 
-World::World (int count, int domains_)
+Simulation::Simulation (int count, int domains_)
     : nodes (count), cut (count, std::vector<bool> (count, false)), clock (count, 1000000),
       domains (domains_)
 {
   for (int i = 0; i < count; i++)
     {
-      nodes[i].world = this;
+      nodes[i].simulation = this;
       nodes[i].index = i;
       start (nodes[i]);
     }
 }
 
-World::~World ()
+Simulation::~Simulation ()
 {
   for (auto &n : nodes)
     if (n.alive)
@@ -88,7 +88,7 @@
 }
 
 void
-World::start (Node &n)
+Simulation::start (Node &n)
 {
   MrMember self = {};
   g_snprintf (self.name, sizeof self.name, "d%d", n.index);
@@ -117,7 +117,7 @@
 }
 
 void
-World::stop (Node &n)
+Simulation::stop (Node &n)
 {
   mr_membership_free (n.membership);
   n.membership = nullptr;
@@ -125,7 +125,7 @@
 }
 
 void
-World::run (MrTime until)
+Simulation::run (MrTime until)
 {
   for (; now < until; now += 50 * MR_MS)
     for (auto &n : nodes)
@@ -151,7 +151,7 @@
 }
 
 void
-World::apply (const Command &c)
+Simulation::apply (const Command &c)
 {
   size_t count = nodes.size ();
   Node &n = nodes[(size_t) c.a % count];
@@ -201,9 +201,9 @@
 }
 
 std::string
-World::find_disagreement ()
+Simulation::find_disagreement ()
 {
-  lossy = 0;
+  loss_percent = 0;
   for (auto &row : cut)
     row.assign (row.size (), false);
   for (auto &n : nodes)
@@ -224,8 +224,8 @@
           if (usable && other.alive && seen->busy != other.busy)
             wrong = "d" + std::to_string (n.index) + " has an outdated record of " + name;
           if (usable != other.alive)
-            wrong = "d" + std::to_string (n.index) + " sees " + name +
-                    (usable ? " alive, but it is dead" : " not alive, but it lives");
+            wrong = "d" + std::to_string (n.index) + " lists " + name +
+                    (usable ? " as alive, but it does not run" : " as not alive, but it runs");
         }
       mr_member_list_unref (list);
       if (!wrong.empty ())
@@ -238,13 +238,13 @@
 run_schedule (guint32 seed)
 {
   GRand *random = g_rand_new_with_seed (seed);
-  World w (3 + g_rand_int_range (random, 0, 10));
-  w.run (w.now + 20 * MR_SECOND);
+  Simulation sim (3 + g_rand_int_range (random, 0, 10));
+  sim.run (sim.now + 20 * MR_SECOND);
   for (int i = 0; i < 15; i++)
-    w.apply ({ g_rand_int_range (random, 0, 8), g_rand_int_range (random, 0, 100),
-               g_rand_int_range (random, 0, 100) });
+    sim.apply ({ g_rand_int_range (random, 0, 8), g_rand_int_range (random, 0, 100),
+                 g_rand_int_range (random, 0, 100) });
   g_rand_free (random);
-  return w.find_disagreement ();
+  return sim.find_disagreement ();
 }
 
 // Two failure domains with their own rings and few links between them, lost messages, and
@@ -253,14 +253,14 @@
 run_schedule_in_domains (guint32 seed)
 {
   GRand *random = g_rand_new_with_seed (seed);
-  World w (18 + g_rand_int_range (random, 0, 8), 2);
-  w.lossy = g_rand_int_range (random, 0, 60);
-  w.run (w.now + 20 * MR_SECOND);
+  Simulation sim (18 + g_rand_int_range (random, 0, 8), 2);
+  sim.loss_percent = g_rand_int_range (random, 0, 60);
+  sim.run (sim.now + 20 * MR_SECOND);
   for (int i = 0; i < 12; i++)
-    w.apply ({ g_rand_int_range (random, 0, 10), g_rand_int_range (random, 0, 100),
-               g_rand_int_range (random, 0, 100) });
+    sim.apply ({ g_rand_int_range (random, 0, 10), g_rand_int_range (random, 0, 100),
+                 g_rand_int_range (random, 0, 100) });
   g_rand_free (random);
-  return w.find_disagreement ();
+  return sim.find_disagreement ();
 }
 
 } // namespace
--- a/test/prop_orders.cpp
+++ b/test/prop_orders.cpp
@@ -1,4 +1,4 @@
-// An order runs at most once, and a caller is told "not run" only if that is true.
+// An order runs at most once, and is reported as not run only if it did not run.
 //
 // Three daemons with the real ticket, record and dispatch modules, and two simulated targets
 // that count the orders they run.  Commands: issue tickets, present them at any daemon, kill
@@ -208,7 +208,7 @@
   mr_order_records_free (d.order_records);
 }
 
-// The checker: compares what a caller is told with what ran.
+// The checker: compares the result that a caller gets with the number of runs.
 void
 Simulation::check_answer (const std::string &ticket, MrResult result)
 {
--- a/test/prop_relay.cpp
+++ b/test/prop_relay.cpp
@@ -25,12 +25,12 @@
 SimFault
 random_fault (GRand *random, guint targets)
 {
-  static const SimFaultType kinds[] = {
+  static const SimFaultType types[] = {
     SIM_FAULT_REMOVED, SIM_FAULT_UNRESPONSIVE, SIM_FAULT_REFUSES_CONNECTIONS, SIM_FAULT_SLOW,
     SIM_FAULT_ERRORS,  SIM_FAULT_SHEDS,        SIM_FAULT_LOSES_RESPONSES,     SIM_FAULT_LEAVING
   };
   SimFault fault = {};
-  fault.type = kinds[pick (random, G_N_ELEMENTS (kinds))];
+  fault.type = types[pick (random, G_N_ELEMENTS (types))];
   fault.first = pick (random, targets);
   fault.last = fault.first + pick (random, targets - fault.first);
   fault.stride = 1 + pick (random, 3);
@@ -184,13 +184,13 @@
   return r;
 }
 
-// Returns a property for fails_without (): "broken" if @count finds violations in a run of @make.
+// Returns a property for fails_without (): "violated" if @count finds violations in a run of @make.
 template <typename Count>
 auto
 violates (SimPlan (*make) (guint32), Count count)
 {
   return [make, count] (guint32 seed) -> std::string {
-    return count (run (make (seed))) > 0 ? "broken" : "";
+    return count (run (make (seed))) > 0 ? "violated" : "";
   };
 }
 
@@ -228,8 +228,8 @@
     for (guint32 i = 0; i < 10; i++)
       {
         SimResult r = run (random_plan (base + i));
-        for (const auto &kind : r.routes)
-          requests += kind.requests;
+        for (const auto &stats : r.routes)
+          requests += stats.requests;
         extra_calls += r.extra_calls;
         RC_ASSERT (r.ran_twice == 0U);
         RC_ASSERT (r.false_not_run == 0U);
--- a/test/prop_search.cpp
+++ b/test/prop_search.cpp
@@ -152,7 +152,7 @@
         RC_ASSERT (r.late_answers == 0U);
       }
   });
-  ok = rc::check ("leaving targets get no new work after 3 s",
+  ok = rc::check ("leaving targets get no new calls after 3 s",
                   [] {
                     MrSearchSimConfig c = leaving_config (*rc::gen::inRange<guint32> (0, 1U << 30));
                     MrSearchSimResult r;
--- a/test/relay_sim.c
+++ b/test/relay_sim.c
@@ -141,7 +141,7 @@
   guint target_count;
   ShardLog *shard_logs;
   GPtrArray *calls;
-  GHashTable *by_id[SIM_DAEMONS_MAX]; /* call id -> Call */
+  GHashTable *calls_by_id[SIM_DAEMONS_MAX]; /* call id -> Call */
   GPtrArray *requests;
   MrTime third_poison_crash;        /* 0: not yet */
   MrTime evacuated_at[SIM_DOMAINS]; /* 0: not evacuated */
@@ -149,7 +149,7 @@
 };
 
 static gint
-S_compare (gconstpointer a, gconstpointer b, gpointer user)
+S_compare_events (gconstpointer a, gconstpointer b, gpointer user)
 {
   const Event *x = a;
   const Event *y = b;
@@ -164,7 +164,7 @@
 {
   Event *event = g_new (Event, 1);
   *event = (Event){ MAX (at, sim->now), sim->sequence++, type, object, index };
-  g_sequence_insert_sorted (sim->events, event, S_compare, NULL);
+  g_sequence_insert_sorted (sim->events, event, S_compare_events, NULL);
 }
 
 static MrTime
@@ -313,16 +313,16 @@
 static void
 S_record_cold_call (Simulation *sim, Target *target)
 {
-  double most = COLD_RATE_FACTOR * sim->plan->cold_rate + COLD_RATE_SLACK;
+  double limit = COLD_RATE_FACTOR * sim->plan->cold_rate + COLD_RATE_SLACK;
   MrTime *arrived = g_new (MrTime, 1);
   *arrived = sim->now;
   g_queue_push_tail (&target->cold_calls, arrived);
   for (MrTime *first = g_queue_peek_head (&target->cold_calls); sim->now - *first >= MR_SECOND;
        first = g_queue_peek_head (&target->cold_calls))
     g_free (g_queue_pop_head (&target->cold_calls));
-  if (sim->plan->cold_rate > 0 && target->cold_calls.length > most)
+  if (sim->plan->cold_rate > 0 && target->cold_calls.length > limit)
     sim->result->cold_excess =
-        MAX (sim->result->cold_excess, target->cold_calls.length - (guint) most);
+        MAX (sim->result->cold_excess, target->cold_calls.length - (guint) limit);
 }
 
 static void
@@ -411,7 +411,7 @@
   Call *call = g_new0 (Call, 1);
   *call = (Call){ .id = out->id, .daemon = daemon, .target = target, .request = request };
   g_ptr_array_add (sim->calls, call);
-  g_hash_table_insert (sim->by_id[daemon->index], &call->id, call);
+  g_hash_table_insert (sim->calls_by_id[daemon->index], &call->id, call);
   if (out->deadline > request->deadline)
     sim->result->deadlines_extended++;
   if (target->leaving_since && sim->now > target->leaving_since + LEAVING_GRACE_US)
@@ -424,7 +424,7 @@
 S_withdraw_call (MrRelayHost *host, guint64 id)
 {
   const Daemon *daemon = (const Daemon *) host;
-  Call *call = g_hash_table_lookup (daemon->sim->by_id[daemon->index], &id);
+  Call *call = g_hash_table_lookup (daemon->sim->calls_by_id[daemon->index], &id);
   if (call->sent_at <= daemon->sim->now)
     return FALSE;
   call->closed = TRUE;
@@ -435,7 +435,7 @@
 S_close_call (MrRelayHost *host, guint64 id)
 {
   Daemon *daemon = (Daemon *) host;
-  Call *call = g_hash_table_lookup (daemon->sim->by_id[daemon->index], &id);
+  Call *call = g_hash_table_lookup (daemon->sim->calls_by_id[daemon->index], &id);
   call->closed = TRUE;
   /* Most targets abort a call when its connection is closed. */
   if (call->request->is_poison && call->running &&
@@ -516,7 +516,7 @@
   const SimRoute *route = &sim->plan->routes[request->route];
   if (result->cause == MR_CAUSE_QUARANTINED)
     stats->quarantined++;
-  MrTime took = sim->now - request->arrived;
+  MrTime latency = sim->now - request->arrived;
   if (result->verdict == MR_VERDICT_REFUSED)
     {
       stats->refused++;
@@ -529,15 +529,15 @@
       stats->failed++;
       return;
     }
-  guint have = 0;
+  guint answered = 0;
   for (guint i = 0; i < result->part_count; i++)
-    have += result->answers[i] != NULL;
-  double coverage = (double) have / result->part_count;
-  if (have + result->missing_parts != result->part_count || coverage < route->min_coverage)
+    answered += result->answers[i] != NULL;
+  double coverage = (double) answered / result->part_count;
+  if (answered + result->missing_parts != result->part_count || coverage < route->min_coverage)
     sim->result->wrong_shard_counts++;
   stats->missing_shards += (double) result->missing_parts / result->part_count;
   /* Connecting and network delay add about 12 ms to the latency that the caller sees. */
-  gboolean on_time = took + 12 * MR_MS <= S_ms (route->latency_goal_ms);
+  gboolean on_time = latency + 12 * MR_MS <= S_ms (route->latency_goal_ms);
   on_time ? stats->on_time++ : stats->late++;
   stats->utility += coverage * coverage * (on_time ? 1 : 0.1);
 }
@@ -633,12 +633,12 @@
 }
 
 static void
-S_on_poison_request (Simulation *sim, guint content, guint repeats)
+S_on_poison_request (Simulation *sim, guint content, guint retries)
 {
   Request *request = S_request_new (sim, sim->plan->poison.route);
   request->is_poison = TRUE;
   request->poison_content = content;
-  request->retries_left = repeats;
+  request->retries_left = retries;
   S_submit (sim, request);
 }
 
@@ -921,9 +921,9 @@
       MrTime end = g_array_index (log->resends, MrTime, i);
       guint resends = S_count_in_window (log->resends, end, &positions[0], &positions[1]);
       guint requests = S_count_in_window (log->requests, end, &positions[2], &positions[3]);
-      double most = RESEND_RATIO_PERCENT / 100.0 * requests + RESEND_ALLOWANCE;
-      if (resends > most)
-        max_excess = MAX (max_excess, (guint) (resends - most));
+      double limit = RESEND_RATIO_PERCENT / 100.0 * requests + RESEND_ALLOWANCE;
+      if (resends > limit)
+        max_excess = MAX (max_excess, (guint) (resends - limit));
     }
   return max_excess;
 }
@@ -962,12 +962,12 @@
 }
 
 static void
-S_free (Simulation *sim)
+S_simulation_free (Simulation *sim)
 {
   for (guint i = 0; i < sim->plan->daemons; i++)
     {
       mr_relay_free (sim->daemons[i].relay);
-      g_hash_table_unref (sim->by_id[i]);
+      g_hash_table_unref (sim->calls_by_id[i]);
     }
   for (guint i = 0; i < sim->plan->shards; i++)
     {
@@ -1000,7 +1000,7 @@
   sim->events = g_sequence_new (g_free);
   sim->calls = g_ptr_array_new_with_free_func (g_free);
   for (guint i = 0; i < plan->daemons; i++)
-    sim->by_id[i] = g_hash_table_new (g_int64_hash, g_int64_equal);
+    sim->calls_by_id[i] = g_hash_table_new (g_int64_hash, g_int64_equal);
   sim->requests = g_ptr_array_new_with_free_func (S_request_free);
   sim->messages = g_ptr_array_new_with_free_func (g_free);
   sim->shard_logs = g_new0 (ShardLog, plan->shards);
@@ -1035,5 +1035,5 @@
       S_on_event (sim, &event);
     }
   S_check_run (sim);
-  S_free (sim);
+  S_simulation_free (sim);
 }
--- a/test/relay_sim.h
+++ b/test/relay_sim.h
@@ -37,7 +37,7 @@
   SIM_FAULT_LOSES_RESPONSES,     /* fraction `factor` of the calls run, but the response is lost */
   SIM_FAULT_LEAVING,             /* listed as leaving */
   SIM_FAULT_CRASHED,             /* closes all connections; refuses new ones until it is back */
-  SIM_FAULT_CRASHED_AND_REMOVED, /* the same, and its entry is removed at that moment, for good */
+  SIM_FAULT_CRASHED_AND_REMOVED, /* the same, and its entry is permanently removed */
   SIM_FAULT_COLD,                /* listed as cold until the end of the fault */
   SIM_FAULT_EVACUATED,           /* `first` to `last` are failure domains, not targets */
 } SimFaultType;
--- a/test/soak/proxy.h
+++ b/test/soak/proxy.h
@@ -28,7 +28,7 @@
 /* Called while the server runs: opens the listener again if it was closed. */
 void soak_proxy_reopen (SoakProxy *proxy);
 
-/* Silences all existing connections for good; new ones work. */
+/* Silences all existing connections permanently; new ones work. */
 void soak_proxy_silence_connections (SoakProxy *proxy);
 void soak_proxy_reset_connections (SoakProxy *proxy);
 
--- a/test/soak/soak.h
+++ b/test/soak/soak.h
@@ -78,7 +78,7 @@
   MrTime sent_at;
 } SoakEvacuatedRequest;
 
-/* Outcome of an order as told to the caller. */
+/* Outcome of an order as reported to the caller. */
 typedef enum
 {
   ORDER_OPEN,
--- a/test/test_bootstrap.c
+++ b/test/test_bootstrap.c
@@ -155,7 +155,7 @@
 }
 
 /* Guards against needless list exchanges between domains.  Targets that start are listed over
- * several seconds, and what one failure domain has read reaches the others a moment later.
+ * several seconds, and what one failure domain has read reaches the others later.
  * Daemons that treated each such difference as a lost message sent each other full lists, half
  * of all bytes between the domains of 985 VMs. */
 static void
--- a/test/test_changes.c
+++ b/test/test_changes.c
@@ -123,10 +123,10 @@
     }
 }
 
-/* Guards against a roster that deviates from the members and so names dead ones or makes two
- * of them watch. After many changes it has to give the same results as a newly built one. */
+/* Guards against a roster that deviates from the members and so names dead members or makes
+ * two members watch. After many changes it has to give the same results as a newly built one. */
 static void
-test_same_as_new (void **state)
+test_updated_roster_equals_rebuilt (void **state)
 {
   enum
   {
@@ -180,7 +180,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_member_changes),
     cmocka_unit_test (test_target_changes),
-    cmocka_unit_test (test_same_as_new),
+    cmocka_unit_test (test_updated_roster_equals_rebuilt),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/test/test_control.c
+++ b/test/test_control.c
@@ -13,7 +13,7 @@
 enum
 {
   LARGE = 295,
-  MIDDLE = 60,
+  MEDIUM = 60,
   DOMAINS = 5,
   TARGETS = 200,
 };
@@ -38,16 +38,16 @@
   return (double) bytes / 1000 / count;
 }
 
-/* Guards against heartbeats that carry known news in a quiet fleet. Six news of members on
- * each heartbeat, which all members had known for long, took 485 bytes and made up half of the
- * bytes charged for a quiet day. */
+/* Guards against heartbeats that repeat known member updates in an idle fleet. Six updates on each
+ * heartbeat, which all members already had, took 485 bytes and made up half of the bytes charged
+ * for a day without changes. */
 static void
-test_calm (void **state)
+test_idle_traffic (void **state)
 {
   enum
   {
     SECONDS = 20,
-    HEARTBEAT_MOST = 120, /* bytes */
+    HEARTBEAT_MAX = 120, /* bytes */
   };
   (void) state;
   const FleetLayout layout = {
@@ -67,7 +67,7 @@
   print_message ("%.0f bytes a heartbeat, %.0f a second and VM, %.0f of them across domains\n",
                  (double) bytes / (double) messages, (double) bytes / LARGE / SECONDS,
                  (double) fleet_bytes (fleet, FALSE) / LARGE / SECONDS);
-  assert_true (bytes <= messages * (guint64) HEARTBEAT_MOST);
+  assert_true (bytes <= messages * (guint64) HEARTBEAT_MAX);
   /* Of a member's four links, in both directions, at most two leave the failure domain. */
   assert_true (fleet->messages[MR_TRAFFIC_HEARTBEAT][0] <= messages / 2);
   fleet_free (fleet);
@@ -83,7 +83,7 @@
   {
     CHANGES = 100,
     BODY = 330,
-    CROSSINGS_MOST = 5, /* of each body */
+    CROSSINGS_MAX = 5, /* of each body */
   };
   (void) state;
   const FleetLayout layout = {
@@ -98,12 +98,13 @@
     }
   MrTime agreed = fleet_run_until (fleet, fleet_objects_agree, TIMEOUT);
   guint64 bodies = fleet->bytes[MR_TRAFFIC_OBJECTS][0];
-  print_message ("agreed %d ms after the last, %.1f crossings of each body, %.1f kB a VM across and"
-                 " %.1f inside\n",
-                 (int) (agreed / MR_MS), (double) bodies / (CHANGES * BODY),
-                 S_kb (fleet_bytes (fleet, FALSE), LARGE), S_kb (fleet_bytes (fleet, TRUE), LARGE));
+  print_message (
+      "agreed %d ms after the last change, %.1f crossings of each body, %.1f kB a VM across and"
+      " %.1f inside\n",
+      (int) (agreed / MR_MS), (double) bodies / (CHANGES * BODY),
+      S_kb (fleet_bytes (fleet, FALSE), LARGE), S_kb (fleet_bytes (fleet, TRUE), LARGE));
   assert_true (agreed <= 100 * MR_MS);
-  assert_true (bodies <= CROSSINGS_MOST * CHANGES * BODY);
+  assert_true (bodies <= CROSSINGS_MAX * CHANGES * BODY);
   fleet_free (fleet);
 }
 
@@ -116,7 +117,7 @@
   enum
   {
     OBJECTS = 4800,
-    BYTES_MOST = 2000,
+    BYTES_MAX = 2000,
   };
   (void) state;
   const FleetLayout layout = { .count = 2, .domains = 1, .seeds = 1 };
@@ -128,24 +129,25 @@
   fleet_run (fleet, 5 * MR_SECOND);
   fleet_clear_counts (fleet);
   /* One daemon stores the object without announcing it, as if the message had been lost. */
-  FleetNode *one = &fleet->nodes[0];
-  mr_registry_offer (one->registry, MR_OBJECT_TARGET, MR_TEXT ("i-new"), 4 * OBJECTS * 4,
+  FleetNode *changed = &fleet->nodes[0];
+  mr_registry_offer (changed->registry, MR_OBJECT_TARGET, MR_TEXT ("i-new"), 4 * OBJECTS * 4,
                      MR_TEXT ("{}"));
-  mr_membership_set_registry_digest (one->membership, mr_registry_digest (one->registry));
+  mr_membership_set_registry_digest (changed->membership, mr_registry_digest (changed->registry));
   fleet_run (fleet, 5 * MR_SECOND);
-  assert_true (mr_registry_digest (one->registry) == mr_registry_digest (fleet->nodes[1].registry));
+  assert_true (mr_registry_digest (changed->registry) ==
+               mr_registry_digest (fleet->nodes[1].registry));
   guint64 bytes = 0;
   for (int kind = MR_TRAFFIC_NEWS; kind < MR_TRAFFIC_KINDS; kind++)
     bytes += fleet->bytes[kind][1];
-  print_message ("one of %d objects: %d bytes\n", OBJECTS, (int) bytes);
-  assert_true (bytes < BYTES_MOST);
+  print_message ("%d objects, of which one differs: %d bytes\n", OBJECTS, (int) bytes);
+  assert_true (bytes < BYTES_MAX);
   fleet_free (fleet);
 }
 
 /* Events that start in a fleet whose daemons agree. */
 
 static void
-S_change (Fleet *fleet)
+S_change_target (Fleet *fleet)
 {
   fleet_write_target (fleet, 0);
 }
@@ -231,17 +233,17 @@
  * hide changes that are in force. All but a few links stay inside a failure domain; after a
  * partition, a loss or a restart all daemons have to agree again within the time of the case. */
 static void
-test_all_agree (void **state)
+test_daemons_converge (void **state)
 {
   static const struct
   {
     const char *name;
-    void (*begin) (Fleet *fleet);
+    void (*event) (Fleet *fleet);
     gboolean lone_vm; /* the last domain has a single VM */
     double seconds;
   } cases[] = {
-    { "a change", S_change, FALSE, 0.1 },
-    { "a change, a domain with one VM", S_change, TRUE, 0.1 },
+    { "a change", S_change_target, FALSE, 0.1 },
+    { "a change, a domain with one VM", S_change_target, TRUE, 0.1 },
     { "half of the targets replaced", S_replace_half, FALSE, 0.2 },
     { "a daemon killed", S_kill_daemon, FALSE, 7 },
     { "a domain lost", S_domain_lost, FALSE, 8 },
@@ -258,14 +260,14 @@
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      const FleetLayout layout = { .count = MIDDLE,
+      const FleetLayout layout = { .count = MEDIUM,
                                    .domains = DOMAINS,
                                    .regions = 2,
                                    .seeds = 3,
                                    .large_vms_per_domain = 2,
                                    .last_vm_alone = cases[i].lone_vm };
       Fleet *fleet = S_start_fleet (&layout);
-      cases[i].begin (fleet);
+      cases[i].event (fleet);
       MrTime took = fleet_run_until (fleet, fleet_converged, TIMEOUT);
       print_message ("%s: %.2f s\n", cases[i].name, (double) took / MR_SECOND);
       if (took > (MrTime) (cases[i].seconds * MR_SECOND))
@@ -274,7 +276,7 @@
     }
 }
 
-/* Evidence against a content */
+/* Evidence against a content. */
 
 static const char content[] = "6ea12fb25cac794dad0efd1471deb818";
 enum
@@ -305,8 +307,8 @@
   return TRUE;
 }
 
-/* Guards against slow replication of evidence: a daemon without it sends more targets requests
- * that make them exit. All daemons have to know within a fraction of the 4 s that a deployment
+/* Guards against slow replication of evidence: a daemon without it sends requests that crash
+ * further targets. All daemons have to know within a fraction of the 4 s that a deployment
  * tolerates, at 295 VMs as at 7 and wherever the evidence was found. A daemon that starts has
  * to know before it serves. */
 static void
@@ -316,19 +318,19 @@
   {
     const char *name;
     guint count;
-    void (*meanwhile) (Fleet *fleet);
+    void (*event) (Fleet *fleet);
     double seconds;
   } cases[] = {
     { "seven", 7, NULL, 0.1 },
-    { "sixty", MIDDLE, NULL, 0.3 },
+    { "sixty", MEDIUM, NULL, 0.3 },
     { "hundreds", LARGE, NULL, 0.5 },
     { "while a hundred targets are replaced", LARGE, S_replace_half, 0.5 },
-    { "while a daemon is killed", MIDDLE, S_kill_daemon, 0.5 },
-    { "while a domain is lost", MIDDLE, S_domain_lost, 0.5 },
-    { "a domain without the store", MIDDLE, S_domain_without_store, 0.3 },
-    { "a domain cut off, healed", MIDDLE, S_domain_cut_and_healed, 5 },
-    { "regions cut off from each other, healed", MIDDLE, S_cut_regions, 5 },
-    { "daemons replaced one by one", MIDDLE, S_replaced_in_turn, 1 },
+    { "while a daemon is killed", MEDIUM, S_kill_daemon, 0.5 },
+    { "while a domain is lost", MEDIUM, S_domain_lost, 0.5 },
+    { "a domain without the store", MEDIUM, S_domain_without_store, 0.3 },
+    { "a domain cut off, healed", MEDIUM, S_domain_cut_and_healed, 5 },
+    { "regions cut off from each other, healed", MEDIUM, S_cut_regions, 5 },
+    { "daemons replaced one by one", MEDIUM, S_replaced_in_turn, 1 },
   };
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -340,8 +342,8 @@
                                    .large_vms_per_domain = cases[i].count < DOMAINS * 2 ? 0 : 2 };
       Fleet *fleet = S_start_fleet (&layout);
       S_offer_evidence (fleet, cases[i].count - 1);
-      if (cases[i].meanwhile)
-        cases[i].meanwhile (fleet);
+      if (cases[i].event)
+        cases[i].event (fleet);
       MrTime took = fleet_run_until (fleet, S_all_know, TIMEOUT);
       print_message ("evidence, %s: %.2f s\n", cases[i].name, (double) took / MR_SECOND);
       if (took > (MrTime) (cases[i].seconds * MR_SECOND))
@@ -355,10 +357,10 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_evidence),
-    cmocka_unit_test (test_calm),
+    cmocka_unit_test (test_idle_traffic),
     cmocka_unit_test (test_objects_cross_few_times),
     cmocka_unit_test (test_one_object_differs),
-    cmocka_unit_test (test_all_agree),
+    cmocka_unit_test (test_daemons_converge),
   };
   mr_log_set_level (MR_LOG_ERROR);
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/test_decisions.c
+++ b/test/test_decisions.c
@@ -30,11 +30,11 @@
         mr_histogram_add (&h, i * scale);
       for (double q = 0.05; q < 1; q += 0.05)
         {
-          double truth = q * 1000 * (double) scale;
-          double read = (double) mr_histogram_quantile (&h, q);
-          if (truth > 20 && fabs (read - truth) > 0.05 * truth)
-            fail_msg ("scale %" G_GINT64_FORMAT " quantile %.2f: %.0f for %.0f", scale, q, read,
-                      truth);
+          double expected = q * 1000 * (double) scale;
+          double measured = (double) mr_histogram_quantile (&h, q);
+          if (expected > 20 && fabs (measured - expected) > 0.05 * expected)
+            fail_msg ("scale %" G_GINT64_FORMAT " quantile %.2f: %.0f for %.0f", scale, q, measured,
+                      expected);
         }
       mr_histogram_decay (&h);
       assert_true (h.count <= 1000);
@@ -42,11 +42,11 @@
 }
 
 static void
-test_budget (void **state)
+test_resend_budget (void **state)
 {
   (void) state;
   MrResendBudget budget = { 0 };
-  MrResendBudgetConfig terms = {
+  MrResendBudgetConfig config = {
     .window = 10 * MR_SECOND,
     .ratio = 0.05,
     .allowance = 20,
@@ -59,28 +59,28 @@
    */
   for (int i = 0; i < 1000; i++)
     {
-      mr_resend_budget_add_request (&budget, &terms, MR_SECOND);
-      spent += mr_resend_budget_try_spend (&budget, &terms, MR_SECOND, 1);
+      mr_resend_budget_add_request (&budget, &config, MR_SECOND);
+      spent += mr_resend_budget_try_spend (&budget, &config, MR_SECOND, 1);
     }
-  while (mr_resend_budget_try_spend (&budget, &terms, MR_SECOND, 1))
+  while (mr_resend_budget_try_spend (&budget, &config, MR_SECOND, 1))
     spent++;
   assert_int_equal (spent, 50 + 20);
-  /* A busy time can't pay for a burst after it: its requests expire with the window. */
-  for (spent = 0; mr_resend_budget_try_spend (&budget, &terms, 20 * MR_SECOND, 1); spent++)
+  /* Earlier requests allow no later burst: they expire with the window. */
+  for (spent = 0; mr_resend_budget_try_spend (&budget, &config, 20 * MR_SECOND, 1); spent++)
     ;
   assert_int_equal (spent, 20);
-  /* A service with few requests can still resend now and then. */
-  assert_false (mr_resend_budget_try_spend (&budget, &terms, 20 * MR_SECOND, 1));
-  assert_false (mr_resend_budget_try_spend (&budget, &terms, 29 * MR_SECOND, 1));
-  assert_true (mr_resend_budget_try_spend (&budget, &terms, 31 * MR_SECOND, 1));
+  /* A service with few requests can still resend occasionally. */
+  assert_false (mr_resend_budget_try_spend (&budget, &config, 20 * MR_SECOND, 1));
+  assert_false (mr_resend_budget_try_spend (&budget, &config, 29 * MR_SECOND, 1));
+  assert_true (mr_resend_budget_try_spend (&budget, &config, 31 * MR_SECOND, 1));
   /* Hedges leave a part of the budget to retries of failed calls. */
-  for (spent = 0; mr_resend_budget_try_spend (&budget, &terms, 50 * MR_SECOND, 0.75); spent++)
+  for (spent = 0; mr_resend_budget_try_spend (&budget, &config, 50 * MR_SECOND, 0.75); spent++)
     ;
   assert_int_equal (spent, 15);
 }
 
 static void
-test_limit (void **state)
+test_concurrency_limit (void **state)
 {
   (void) state;
   MrConcurrencyLimit limit;
@@ -111,13 +111,13 @@
   (void) state;
   typedef enum
   {
-    ANSWER,
-    SILENCE,
-    BREAK,
+    SUCCESS,
+    TIMED_OUT,
+    CONNECTION_ERROR,
     PROBE_OK,
     PROBE_FAILED,
     FAILURE,
-    LOST,
+    CONNECTION_LOST,
     LEAVING,
     LIVE,
     TICK,
@@ -129,14 +129,14 @@
     MrHealthState state;
     MrHealthAction action;
   } steps[] = {
-    { ANSWER, 100, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
+    { SUCCESS, 100, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
     /* It has answered since the call was sent: only the call's connection is in doubt. */
-    { SILENCE, 105, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
-    { SILENCE, 200, MR_HEALTH_SUSPECT, MR_HEALTH_ACTION_PROBE },
-    { SILENCE, 201, MR_HEALTH_SUSPECT, MR_HEALTH_ACTION_NONE },
+    { TIMED_OUT, 105, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
+    { TIMED_OUT, 200, MR_HEALTH_SUSPECT, MR_HEALTH_ACTION_PROBE },
+    { TIMED_OUT, 201, MR_HEALTH_SUSPECT, MR_HEALTH_ACTION_NONE },
     /* The probe succeeds on a new connection: the old connections were lost. */
     { PROBE_OK, 210, MR_HEALTH_UP, MR_HEALTH_ACTION_RECONNECT },
-    { BREAK, 300, MR_HEALTH_SUSPECT, MR_HEALTH_ACTION_PROBE },
+    { CONNECTION_ERROR, 300, MR_HEALTH_SUSPECT, MR_HEALTH_ACTION_PROBE },
     { PROBE_FAILED, 310, MR_HEALTH_DOWN, MR_HEALTH_ACTION_NONE },
     { TICK, 350, MR_HEALTH_DOWN, MR_HEALTH_ACTION_NONE },
     { TICK, 411, MR_HEALTH_DOWN, MR_HEALTH_ACTION_PROBE },
@@ -151,15 +151,15 @@
     { TICK, 1000, MR_HEALTH_DOWN, MR_HEALTH_ACTION_NONE },
     { TICK, 1051, MR_HEALTH_DOWN, MR_HEALTH_ACTION_PROBE },
     { PROBE_OK, 1060, MR_HEALTH_UP, MR_HEALTH_ACTION_SLOW_START },
-    { ANSWER, 1070, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
+    { SUCCESS, 1070, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
     { FAILURE, 1080, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
-    /* Two connections lost while others answer: all are replaced. */
-    { ANSWER, 1085, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
-    { LOST, 1086, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
-    { LOST, 1087, MR_HEALTH_UP, MR_HEALTH_ACTION_RECONNECT },
+    /* Two connections are lost while others get answers: all are replaced. */
+    { SUCCESS, 1085, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
+    { CONNECTION_LOST, 1086, MR_HEALTH_UP, MR_HEALTH_ACTION_NONE },
+    { CONNECTION_LOST, 1087, MR_HEALTH_UP, MR_HEALTH_ACTION_RECONNECT },
     { LEAVING, 1100, MR_HEALTH_LEAVING, MR_HEALTH_ACTION_NONE },
-    { ANSWER, 1110, MR_HEALTH_LEAVING, MR_HEALTH_ACTION_NONE },
-    /* The list of VMs lags behind: the target's own notice holds for a while. */
+    { SUCCESS, 1110, MR_HEALTH_LEAVING, MR_HEALTH_ACTION_NONE },
+    /* The list of VMs is delayed, so the target's own notice takes precedence at first. */
     { LIVE, 5000, MR_HEALTH_LEAVING, MR_HEALTH_ACTION_NONE },
     { LIVE, 40000, MR_HEALTH_DOWN, MR_HEALTH_ACTION_PROBE },
     { PROBE_OK, 40010, MR_HEALTH_UP, MR_HEALTH_ACTION_SLOW_START },
@@ -171,13 +171,13 @@
       MrHealthAction action = MR_HEALTH_ACTION_NONE;
       switch (steps[i].event)
         {
-        case ANSWER:
+        case SUCCESS:
           action = mr_health_on_success (&h, now);
           break;
-        case SILENCE:
+        case TIMED_OUT:
           action = mr_health_on_timeout (&h, now - 10 * MR_MS, now);
           break;
-        case BREAK:
+        case CONNECTION_ERROR:
           action = mr_health_on_connection_error (&h, now);
           break;
         case PROBE_OK:
@@ -186,7 +186,7 @@
         case PROBE_FAILED:
           action = mr_health_on_probe_result (&h, false, now);
           break;
-        case LOST:
+        case CONNECTION_LOST:
           action = mr_health_on_connection_lost (&h, now - 10 * MR_MS, now);
           break;
         case FAILURE:
@@ -236,7 +236,7 @@
 /* Rendezvous hashing: members of the near domain first, evenly spread, and a lost member moves only
  * the cells that it owned. */
 static void
-test_owner (void **state)
+test_cell_owner (void **state)
 {
   (void) state;
   enum
@@ -260,14 +260,14 @@
     }
   MrMemberList *all = mr_member_list_new (members, MEMBERS);
   members[0].state = MR_MEMBER_DEAD;
-  MrMemberList *fewer = mr_member_list_new (members, MEMBERS);
+  MrMemberList *remaining = mr_member_list_new (members, MEMBERS);
   guint owned[MEMBERS] = { 0 };
   for (guint cell = 0; cell < CELLS; cell++)
     {
       const MrMember *before[2];
       const MrMember *after[2];
       assert_int_equal (mr_owner_rank (all, map, cell, 1, NULL, before, 2), 2);
-      assert_int_equal (mr_owner_rank (fewer, map, cell, 1, NULL, after, 2), 2);
+      assert_int_equal (mr_owner_rank (remaining, map, cell, 1, NULL, after, 2), 2);
       assert_string_equal (before[0]->domain, "a");
       owned[before[0]->name[1] - '0']++;
       const char *expected =
@@ -277,13 +277,13 @@
   for (int i = 0; i < 3; i++)
     assert_in_range (owned[i], 70, 130);
   mr_member_list_unref (all);
-  mr_member_list_unref (fewer);
+  mr_member_list_unref (remaining);
   mr_shard_map_unref (map);
   g_string_free (json, TRUE);
 }
 
 static void
-test_orders_table (void **state)
+test_order_records (void **state)
 {
   (void) state;
   guint8 random[32] = { 1, 2, 3 };
@@ -336,16 +336,16 @@
   mr_order_records_free (orders);
 }
 
-/* Computed by hand: 2 slow requests of 100 with an objective of 99 % burn at rate 2. */
+/* With an objective of 99 %, 2 slow requests of 100 give a burn rate of 2. */
 static void
-test_burn (void **state)
+test_burn_rate (void **state)
 {
   (void) state;
   MrBurn *burn = mr_burn_new (0);
   MrBurnOutcome slow = { .slow = TRUE, .target = "t1", .domain = "a" };
-  MrBurnOutcome fine = { 0 };
+  MrBurnOutcome good = { 0 };
   for (int i = 0; i < 98; i++)
-    mr_burn_add (burn, 1000 * MR_SECOND, "shop", &fine);
+    mr_burn_add (burn, 1000 * MR_SECOND, "shop", &good);
   mr_burn_add (burn, 1000 * MR_SECOND, "shop", &slow);
   mr_burn_add (burn, 1000 * MR_SECOND, "shop", &slow);
   MrBurnCounts c = mr_burn_counts (burn, 1001 * MR_SECOND, "shop", 0);
@@ -419,11 +419,11 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_histogram),    cmocka_unit_test (test_budget),
-    cmocka_unit_test (test_limit),        cmocka_unit_test (test_health),
-    cmocka_unit_test (test_registry),     cmocka_unit_test (test_owner),
-    cmocka_unit_test (test_orders_table), cmocka_unit_test (test_burn),
-    cmocka_unit_test (test_watchers),     cmocka_unit_test (test_results),
+    cmocka_unit_test (test_histogram),         cmocka_unit_test (test_resend_budget),
+    cmocka_unit_test (test_concurrency_limit), cmocka_unit_test (test_health),
+    cmocka_unit_test (test_registry),          cmocka_unit_test (test_cell_owner),
+    cmocka_unit_test (test_order_records),     cmocka_unit_test (test_burn_rate),
+    cmocka_unit_test (test_watchers),          cmocka_unit_test (test_results),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/test/test_directory.c
+++ b/test/test_directory.c
@@ -17,7 +17,7 @@
 {
   DOMAINS = 3,
   SMALL = 6,
-  MIDDLE = 73,
+  MEDIUM = 73,
   LARGE = 295,
   HUGE = 810,
   COUNT_MAX = HUGE,
@@ -78,9 +78,9 @@
 }
 
 static void
-S_run (Site *site, MrTime span, guint *late)
+S_run (Site *site, MrTime duration, guint *late)
 {
-  for (MrTime end = site->fleet->now + span; site->fleet->now < end;)
+  for (MrTime end = site->fleet->now + duration; site->fleet->now < end;)
     {
       fleet_run (site->fleet, STEP);
       *late += S_count_late_answers (site);
@@ -152,22 +152,22 @@
 
 /* Guards against answers that send callers to daemons that have stopped. */
 static void
-test_the_dead_are_not_named (void **state)
+test_stopped_daemons_are_not_named (void **state)
 {
   static const struct
   {
     const char *name;
-    void (*cause) (Site *site, guint *late);
+    void (*event) (Site *site, guint *late);
     guint largest; /* size of the largest fleet that the case runs with */
   } cases[] = {
-    { "two killed", S_kill_named, MIDDLE },
-    { "killed during a cut", S_kill_during_cut, MIDDLE },
-    { "killed during a one-way cut", S_kill_during_one_way_cut, MIDDLE },
-    { "killed, back, killed again", S_kill_twice, MIDDLE },
+    { "two killed", S_kill_named, MEDIUM },
+    { "killed during a cut", S_kill_during_cut, MEDIUM },
+    { "killed during a one-way cut", S_kill_during_one_way_cut, MEDIUM },
+    { "killed, back, killed again", S_kill_twice, MEDIUM },
     { "a domain killed", S_kill_domain, LARGE },
-    { "half killed", S_kill_half, MIDDLE },
+    { "half killed", S_kill_half, MEDIUM },
   };
-  static const guint counts[] = { SMALL, MIDDLE, LARGE };
+  static const guint counts[] = { SMALL, MEDIUM, LARGE };
   (void) state;
   for (gsize c = 0; c < G_N_ELEMENTS (counts); c++)
     for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -184,7 +184,7 @@
         site->fleet = fleet_new (&layout);
         fleet_start_all (site->fleet, 300 * MR_MS, FALSE);
         S_run (site, 6 * MR_SECOND, &late);
-        cases[i].cause (site, &late);
+        cases[i].event (site, &late);
         S_run (site, NAMED_MAX + 3 * MR_SECOND, &late);
         if (late > 0)
           print_message ("%s of %u: %u answers\n", cases[i].name, counts[c], late);
@@ -196,13 +196,13 @@
 /* Guards against callers that have to ask repeatedly while all daemons near them are silent,
  * and against answers with a longer lifetime than the platform allows for. */
 static void
-test_keep (void **state)
+test_address_ttl (void **state)
 {
   static const struct
   {
     guint domain_losses;
-    MrTime max_keep;
-    MrTime keep;
+    MrTime max_ttl;
+    MrTime ttl;
   } cases[] = {
     { 0, 0, 1 * MR_SECOND },
     { 0, 5 * MR_SECOND, 1 * MR_SECOND },
@@ -213,16 +213,16 @@
   };
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
-    assert_int_equal (mr_entry_address_ttl (cases[i].domain_losses, cases[i].max_keep),
-                      cases[i].keep);
+    assert_int_equal (mr_entry_address_ttl (cases[i].domain_losses, cases[i].max_ttl),
+                      cases[i].ttl);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_keep),
-    cmocka_unit_test (test_the_dead_are_not_named),
+    cmocka_unit_test (test_address_ttl),
+    cmocka_unit_test (test_stopped_daemons_are_not_named),
   };
   mr_log_set_level (MR_LOG_ERROR);
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/test_evacuation.c
+++ b/test/test_evacuation.c
@@ -1,4 +1,4 @@
-/* Evacuations of failure domains, on a virtual clock: the utility for callers meanwhile, and how
+/* Evacuations of failure domains, on a virtual clock: the utility for callers during one, and how
  * soon every daemon of a fleet knows of them. */
 
 #include "evacuation.h"
--- a/test/test_evidence.c
+++ b/test/test_evidence.c
@@ -25,19 +25,19 @@
   { "no evidence", { 0 }, MR_STANDING_CLEAR, false },
   { "one target", { .marks = { 7 }, .occasions = 1, .at = NOW }, MR_STANDING_SUSPECT, false },
   /* The loss of a rack breaks several calls of one search at the same time. */
-  { "three on one occasion",
+  { "three targets on one occasion",
     { .marks = { 255, 254, 253 }, .occasions = 1, .at = NOW },
     MR_STANDING_SUSPECT,
     false },
-  { "two on two occasions",
+  { "two targets on two occasions",
     { .marks = { 9, 7 }, .occasions = 2, .at = NOW },
     MR_STANDING_SUSPECT,
     false },
-  { "three on two occasions",
+  { "three targets on two occasions",
     { .marks = { 9, 7, 1 }, .occasions = 2, .at = NOW },
     MR_STANDING_QUARANTINED,
     false },
-  { "three on two occasions, 64 s ago",
+  { "three targets on two occasions, 64 s ago",
     { .marks = { 9, 7, 1 }, .occasions = 2, .at = NOW - 64 },
     MR_STANDING_QUARANTINED,
     true },
@@ -70,18 +70,18 @@
 }
 
 static void
-test_packed (void **state)
+test_encoding (void **state)
 {
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (standing_cases); i++)
     {
       MrEvidence e = standing_cases[i].evidence;
-      MrEvidence back = mr_evidence_unpack (mr_evidence_pack (&e));
-      MrEvidence read = { 0 };
+      MrEvidence unpacked = mr_evidence_unpack (mr_evidence_pack (&e));
+      MrEvidence parsed = { 0 };
       g_autofree char *json = mr_evidence_write (&e, NOW);
-      assert_memory_equal (&e, &back, sizeof e);
-      assert_true (mr_evidence_read (mr_text (json), &read));
-      assert_memory_equal (&e, &read, sizeof e);
+      assert_memory_equal (&e, &unpacked, sizeof e);
+      assert_true (mr_evidence_read (mr_text (json), &parsed));
+      assert_memory_equal (&e, &parsed, sizeof e);
     }
   /* Counters saturate instead of wrapping around. */
   MrEvidence many = {
@@ -93,9 +93,9 @@
 }
 
 static void
-test_unreadable (void **state)
+test_invalid_json (void **state)
 {
-  static const char *const wrong[] = {
+  static const char *const invalid[] = {
     "",
     "[]",
     "{\"marks\":[3]}",
@@ -108,11 +108,11 @@
     "{\"marks\":[3],\"occasions\":1,\"probations\":0,\"cleared\":0,\"at\":99999999999}"
   };
   (void) state;
-  for (gsize i = 0; i < G_N_ELEMENTS (wrong); i++)
+  for (gsize i = 0; i < G_N_ELEMENTS (invalid); i++)
     {
       MrEvidence e;
-      if (mr_evidence_read (mr_text (wrong[i]), &e))
-        fail_msg ("%s", wrong[i]);
+      if (mr_evidence_read (mr_text (invalid[i]), &e))
+        fail_msg ("%s", invalid[i]);
     }
 }
 
@@ -151,7 +151,7 @@
 /* Three daemons that each see one crash at the same time have evidence of three crashes after
  * merging. */
 static void
-test_merged (void **state)
+test_simultaneous_crashes (void **state)
 {
   (void) state;
   MrEvidence none = { 0 };
@@ -171,7 +171,7 @@
 /* If more targets crash than are kept, all daemons keep the same marks whatever the order of
  * merging, and each merge only adds evidence. */
 static void
-test_merged_in_any_order (void **state)
+test_marks_do_not_depend_on_order (void **state)
 {
   enum
   {
@@ -212,7 +212,7 @@
   enum
   {
     CONTENTS = 2000,
-    /* No target crashes after the third; one content in fifty may cost one more. */
+    /* No target crashes after the third; one content in fifty may crash one more target. */
     MISCOUNTED_MAX = CONTENTS / 50,
   };
   (void) state;
@@ -226,9 +226,9 @@
       for (guint n = 0; n < 3; n++)
         {
           g_autofree char *name = g_strdup_printf ("i-%08x", (3 * i + n) * 2654435761U);
-          MrEvidence elsewhere = S_crash (&none, &none, name);
+          MrEvidence other_daemon = S_crash (&none, &none, name);
           sequential = S_crash (&sequential, &sequential, name);
-          simultaneous = mr_evidence_merge (&simultaneous, &elsewhere);
+          simultaneous = mr_evidence_merge (&simultaneous, &other_daemon);
         }
       sequential_miscounted +=
           mr_evidence_standing (&sequential, NOW) != MR_STANDING_QUARANTINED ? 1 : 0;
@@ -248,7 +248,7 @@
 
 /* The result of merging evidence does not depend on the order. */
 static void
-test_merges_in_any_order (void **state)
+test_merging_does_not_depend_on_order (void **state)
 {
   (void) state;
   const MrEvidence steps[] = {
@@ -301,18 +301,18 @@
 /* A new content each second does not grow the table beyond its limit; quarantines and the latest
  * suspicions are kept. */
 static void
-test_bounded (void **state)
+test_table_is_bounded (void **state)
 {
   (void) state;
   MrQuarantine *q = mr_quarantine_new ();
-  MrEvidence held = { .marks = { 9, 7, 1 }, .occasions = 2, .at = NOW - 1000 };
-  assert_true (mr_quarantine_merge (q, S_content (0), &held, NOW, NULL));
+  MrEvidence quarantined = { .marks = { 9, 7, 1 }, .occasions = 2, .at = NOW - 1000 };
+  assert_true (mr_quarantine_merge (q, S_content (0), &quarantined, NOW, NULL));
   for (guint i = 1; i < 3 * MR_QUARANTINE_MAX_CONTENTS; i++)
     {
-      MrFingerprint left_out = { 0 };
+      MrFingerprint evicted = { 0 };
       MrEvidence e = { .marks = { 7 }, .occasions = 1, .at = NOW + i };
-      assert_true (mr_quarantine_merge (q, S_content (i), &e, NOW + i, &left_out));
-      assert_true (mr_fingerprint_is_set (left_out) == (i >= MR_QUARANTINE_MAX_CONTENTS));
+      assert_true (mr_quarantine_merge (q, S_content (i), &e, NOW + i, &evicted));
+      assert_true (mr_fingerprint_is_set (evicted) == (i >= MR_QUARANTINE_MAX_CONTENTS));
     }
   assert_int_equal (S_count (q).all, MR_QUARANTINE_MAX_CONTENTS);
   assert_int_equal (mr_quarantine_get (q, S_content (0)).marks[0], 9);
@@ -335,14 +335,14 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_standing),
-    cmocka_unit_test (test_packed),
-    cmocka_unit_test (test_unreadable),
+    cmocka_unit_test (test_encoding),
+    cmocka_unit_test (test_invalid_json),
     cmocka_unit_test (test_occasions),
-    cmocka_unit_test (test_merged),
-    cmocka_unit_test (test_merged_in_any_order),
+    cmocka_unit_test (test_simultaneous_crashes),
+    cmocka_unit_test (test_marks_do_not_depend_on_order),
     cmocka_unit_test (test_crashes_are_distinguished),
-    cmocka_unit_test (test_merges_in_any_order),
-    cmocka_unit_test (test_bounded),
+    cmocka_unit_test (test_merging_does_not_depend_on_order),
+    cmocka_unit_test (test_table_is_bounded),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/test/test_fleet_shares.c
+++ b/test/test_fleet_shares.c
@@ -153,9 +153,9 @@
   guint members;
   guint domains;
   guint32 load; /* of each member */
-  guint dead;   /* the first so many */
+  guint dead;   /* number of dead members, the first ones */
   guint entries;
-  guint large; /* the first so many have four times the CPU capacity */
+  guint large; /* number of members with four times the CPU capacity, the first ones */
 } EntryCase;
 
 static void
@@ -255,8 +255,8 @@
   static const struct
   {
     const char *name;
-    guint ready;    /* the first so many */
-    guint starting; /* the next so many */
+    guint ready;    /* number of ready members, the first ones */
+    guint starting; /* number of starting members, after the ready ones */
     guint32 capacity;
     guint entries;
     gboolean only_ready;
@@ -335,8 +335,8 @@
 
 /* Guards against a store outage that makes every member poll the store: in one of 6 s, 295 relays
  * made 3,800 calls, because each that lost the store announced it and the next in rank took over.
- * Only a few members per failure domain poll, even when all have lost the store.  While some still
- * reach it, exactly one of these is the first watcher. */
+ * Only a few members per failure domain poll, even when all have lost the store.  While some
+ * members still reach it, exactly one of them is the first watcher. */
 static void
 test_watchers_in_store_outage (void **state)
 {
@@ -427,9 +427,8 @@
 
 /* Guards against changes by operators that take effect half a minute late: all watch calls
  * had been accepted by a store that did not answer at the time.  Exactly one of the members that
- * reach the store polls it every few seconds, and another takes over as soon as that one announces
- * that it has lost it.
- */
+ * reach the store polls it every few seconds, and another takes over as soon as this member
+ * announces that it has lost the store. */
 static void
 test_first_watcher (void **state)
 {
--- a/test/test_homes.c
+++ b/test/test_homes.c
@@ -36,14 +36,14 @@
 }
 
 static void
-S_on_target (MrRelayHost *host, const MrTargetState *target)
+S_ignore_target (MrRelayHost *host, const MrTargetState *target)
 {
   (void) host;
   (void) target;
 }
 
 static void
-S_on_drop (MrRelayHost *host, guint64 id)
+S_ignore_drop (MrRelayHost *host, guint64 id)
 {
   (void) host;
   (void) id;
@@ -85,7 +85,7 @@
 
 /* Guards against calls, including retries, to targets outside a route's home regions. */
 static void
-test_targets (void **state)
+test_targets_in_home_regions (void **state)
 {
   static const struct
   {
@@ -103,22 +103,22 @@
     {
       Caller c = {
         .host = { .send_call = S_on_call,
-                  .close_call = S_on_drop,
-                  .probe = S_on_target,
-                  .reconnect = S_on_target,
+                  .close_call = S_ignore_drop,
+                  .probe = S_ignore_target,
+                  .reconnect = S_ignore_target,
                   .request_done = S_on_done },
         .called = g_ptr_array_new_with_free_func (g_free),
         .open = g_array_new (FALSE, FALSE, sizeof (guint64)),
       };
-      MrRelayOptions info = { .regions = regions,
-                              .policy = &mr_relay_policy,
-                              .seed = 7,
-                              .budget = { .window = 10 * MR_SECOND,
-                                          .ratio = 1,
-                                          .allowance = 1000,
-                                          .share = 1,
-                                          .margin = 1 } };
-      MrRelay *relay = mr_relay_new (&c.host, &info);
+      MrRelayOptions options = { .regions = regions,
+                                 .policy = &mr_relay_policy,
+                                 .seed = 7,
+                                 .budget = { .window = 10 * MR_SECOND,
+                                             .ratio = 1,
+                                             .allowance = 1000,
+                                             .share = 1,
+                                             .margin = 1 } };
+      MrRelay *relay = mr_relay_new (&c.host, &options);
       MrRelayShares shares = { .connections = 1, .slots = 1, .allowance = 1 };
       mr_relay_set_shares (relay, &shares);
       S_list_targets (relay);
@@ -151,7 +151,7 @@
 /* Guards against an address answer with daemons in regions that are neither a home nor the
  * caller's, while there are others. */
 static void
-test_entries (void **state)
+test_entries_in_home_regions (void **state)
 {
   enum
   {
@@ -201,8 +201,8 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_targets),
-    cmocka_unit_test (test_entries),
+    cmocka_unit_test (test_targets_in_home_regions),
+    cmocka_unit_test (test_entries_in_home_regions),
   };
   mr_log_set_level (MR_LOG_ERROR);
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/test_http_message.c
+++ b/test/test_http_message.c
@@ -130,8 +130,8 @@
     }
 }
 
-/* A body without a length ends when the connection is closed in order; any other message is then
- * incomplete. */
+/* A body without a length ends when the connection is closed without an error; any other message is
+ * then incomplete. */
 static void
 test_connection_end (void **state)
 {
--- a/test/test_incarnation.c
+++ b/test/test_incarnation.c
@@ -234,7 +234,7 @@
     guint calls; /* in total */
     guint verdicts;
   } cases[] = {
-    { "a search is sent again", TRUE, 2, 0 },
+    { "a search is resent", TRUE, 2, 0 },
     { "an order may have run", FALSE, 1, 1 },
   };
   (void) state;
--- a/test/test_quarantine.c
+++ b/test/test_quarantine.c
@@ -1,14 +1,11 @@
 /* Requests that crash each target that runs them, simulated on the virtual clock.
  *
- * Guards against a request that crashes many targets: hardly any search was answered for seconds,
- * since up to thirty targets of all shards had crashed within a second.  A search is sent to all
- * ten shards at once.  Each crash was taken for an unrelated failure of the target, so the part was
- * retried on the next target and slow parts were hedged, and the caller's retry reached a daemon
- * that did not know the content.
- *
- * Required: once three targets have crashed and all daemons have had time to learn it, the content
- * reaches at most three more targets, ever; as few targets as possible crash before that; and other
- * searches are served. */
+ * Guards against a request that crashes up to thirty targets of all shards within a second, so that
+ * hardly any search is answered for seconds.  A search is sent to all ten shards at once; if
+ * crashes count as failures of the targets, its parts are retried and hedged on further targets,
+ * and the caller's retry reaches a daemon that does not know the content.  Once three targets have
+ * crashed and all daemons have the evidence, the content must reach at most three more targets; few
+ * targets may crash before that, and other searches must be served. */
 
 #include "relay_site.h"
 
@@ -129,7 +126,8 @@
  * some 60 ms after its begin, even if the call's connection has been closed.  At 48 ms none of the
  * ten parts had been answered, and each was hedged, 8 ms before the first crash was detected; all
  * ten hedges crashed their targets 40 to 110 ms later.  One search crashed 21 of 30 targets, a
- * second one beside it 25, and for three seconds other searches found shards without any target. */
+ * second concurrent one 25, and for three seconds other searches found shards without any target.
+ */
 static void
 test_hedges_wait_for_an_answer (void **state)
 {
@@ -260,13 +258,13 @@
 };
 
 static const Scenario scenarios[] = {
-  { "a rack", { { SIM_FAULT_CRASHED, 0, 29, 3, 3000, 6000, 0 } }, 0.95 },
-  { "a seventh, three times",
+  { "a rack crashes", { { SIM_FAULT_CRASHED, 0, 29, 3, 3000, 6000, 0 } }, 0.95 },
+  { "every seventh, three times",
     { { SIM_FAULT_CRASHED, 0, 29, 7, 3000, 5000, 0 },
       { SIM_FAULT_CRASHED, 1, 29, 7, 7000, 9000, 0 },
       { SIM_FAULT_CRASHED, 2, 29, 7, 11000, 13000, 0 } },
     0.95 },
-  { "one after another",
+  { "crashes in sequence",
     { { SIM_FAULT_CRASHED, 0, 29, 8, 3000, 6000, 0 },
       { SIM_FAULT_CRASHED, 1, 29, 8, 3030, 6000, 0 },
       { SIM_FAULT_CRASHED, 2, 29, 8, 3060, 6000, 0 },
@@ -275,14 +273,16 @@
       { SIM_FAULT_CRASHED, 5, 29, 8, 3150, 6000, 0 },
       { SIM_FAULT_CRASHED, 6, 29, 8, 3180, 6000, 0 } },
     0.70 },
-  { "all of two shards", { { SIM_FAULT_CRASHED, 0, 5, 1, 3000, 8000, 0 } }, 0.70 },
-  { "all at once", { { SIM_FAULT_CRASHED, 0, 29, 1, 3000, 4000, 0 } }, 0.90 },
-  { "a rack, and answers lost",
+  { "two shards crash", { { SIM_FAULT_CRASHED, 0, 5, 1, 3000, 8000, 0 } }, 0.70 },
+  { "all crash at once", { { SIM_FAULT_CRASHED, 0, 29, 1, 3000, 4000, 0 } }, 0.90 },
+  { "a rack crashes, answers lost",
     { { SIM_FAULT_CRASHED, 0, 29, 3, 3000, 6000, 0 },
       { SIM_FAULT_LOSES_RESPONSES, 1, 29, 3, 3000, 6000, 0.2 } },
     0.85 },
-  { "a rack, and its entries", { { SIM_FAULT_CRASHED_AND_REMOVED, 0, 29, 3, 3000, 0, 0 } }, 0.95 },
-  { "a few entries, one after another",
+  { "a rack crashes, is removed",
+    { { SIM_FAULT_CRASHED_AND_REMOVED, 0, 29, 3, 3000, 0, 0 } },
+    0.95 },
+  { "two removed in sequence",
     { { SIM_FAULT_CRASHED_AND_REMOVED, 0, 29, 10, 3000, 0, 0 },
       { SIM_FAULT_CRASHED_AND_REMOVED, 1, 29, 10, 3030, 0, 0 } },
     0.70 },
@@ -331,8 +331,8 @@
 
 /* Guards against the quarantine of a harmless search, for half a minute, among targets that crash
  * for unrelated reasons 30 ms apart.  At its second crash its calls were cancelled, including those
- * that would have been answered, and its trial met the next crash.  This happened with these four
- * of sixty seeds. */
+ * that would have been answered, and its trial was sent to the target that crashed next.  This
+ * happened with these four of sixty seeds. */
 static void
 test_crashes_in_sequence_never_quarantine (void **state)
 {
@@ -345,8 +345,8 @@
 }
 
 /* Guards against the quarantine of a popular search for half a minute.  All targets crashed within
- * 34 ms, each with a call of it.  A call that was sent after the first crashes were known met a
- * target that crashed a moment later, which made a second occasion, and no target was left to
+ * 34 ms, each with a call of it.  A call that was sent after the first crashes were known went to
+ * a target that crashed next, which counted as a second occasion, and no target was left to
  * answer and clear the content, although it had been answered milliseconds before.  The evidence
  * showed three crashes on two occasions within 5 ms, and the first answer came after 27 s, on
  * probation. */
--- a/test/test_relay_load.c
+++ b/test/test_relay_load.c
@@ -1,5 +1,5 @@
 /* Overload and faults in the simulation, on a virtual clock: which requests wait, which are
- * refused, and where calls go.  The shape is that of a small site (relay_site.h). */
+ * refused, and where calls go.  The parameters are those of a small site (relay_site.h). */
 
 #include "relay_site.h"
 
@@ -20,20 +20,20 @@
 } Case;
 
 static const Case cases[] = {
-  /* A third of the searches over all shards meets a paused target.  Avoiding such targets, and
-   * hedges at the measured quantile, keep them in time. */
+  /* A third of the searches over all shards has a part at a paused target.  Avoiding such targets,
+   * and hedges at the measured quantile, keep them in time. */
   { "normal load", { SITE }, { 0.97, 0.96 } },
-  /* Two shards are left with one target each, which the daily peak asks for 110 % of its slots.  If
-   * every part were sent, its queue would make every search late (a tenth of the utility). Searches
-   * can do without one shard (81 % of their utility), so some leave out the one and some the other,
-   * and the rest of both is in time. */
+  /* Two shards have one target left each, and the daily peak needs 110 % of the slots of these
+   * targets.  If every part were sent, the queues would make every search late (a tenth of the
+   * utility).  A search without one shard has 81 % of its utility, so each search leaves out at
+   * most one of the two, and the parts that are sent are in time. */
   { "two shards over capacity",
     { SITE_WITH_RATES (177, 59), .faults = { { SIM_FAULT_REMOVED, 0, 1, 1, 1000, 0, 0 },
                                              { SIM_FAULT_REMOVED, 3, 4, 1, 1000, 0, 0 } } },
     { 0.75, 0.70 } },
-  /* One shard has one target left, which the peak asks for 110 % of its slots, and every answer
-   * needs it: some requests are refused at once, the rest are in time. */
-  { "needed shard over capacity",
+  /* One shard has a single target, the peak needs 110 % of its slots, and every answer needs the
+   * shard: some requests are refused at once, the rest are in time. */
+  { "required shard over capacity",
     { HIGH_COVERAGE_SITE_WITH_RATES (177, 59),
       .faults = { { SIM_FAULT_REMOVED, 0, 1, 1, 1000, 0, 0 } } },
     { 0.75, 0.60 } },
@@ -43,41 +43,42 @@
    * themselves and refuse some requests of both routes at once, so that the others are in time. */
   { "three times the load", { SITE_WITH_RATES (447, 144) }, { 0.84, 0.65 } },
   { "four times the load", { SITE_WITH_RATES (596, 192) }, { 0.65, 0.35 } },
-  /* A shard stops responding for good: calls to it hang, then its targets are down and searches are
-   * answered without it. */
+  /* A shard stops responding permanently: calls to it time out, then its targets are marked down
+   * and searches are answered without it. */
   { "an unresponsive shard",
     { SITE, .faults = { { SIM_FAULT_UNRESPONSIVE, 0, 2, 1, 3000, 0, 0 } } },
     { 0.80, 0.80 } },
   /* A third of the targets sheds half of its calls: refused calls are retried at other targets
    * within the budget, and targets that refuse get fewer calls. */
-  { "shedding",
+  { "a third sheds",
     { SITE, .faults = { { SIM_FAULT_SHEDS, 0, 29, 3, 3000, 0, 0.45 } } },
     { 0.90, 0.90 } },
   { "second site, normal load", { QUICK_SITE }, { 0.97, 0.96 } },
   /* Every second target refuses 60 % of its calls, so that one shard in eight has only such
    * targets.  Calls go to targets that do not refuse, even if they are remote or busier.  Where all
-   * do, a refused call is sent again, once, to one of the two targets that a request may be sent
-   * to.  The utility of the two routes is 0.962 and 0.876, and 0.912 and 0.862 without both rules.
+   * targets refuse, a refused call is sent again, once, to one of the two targets that a request
+   * may be sent to.  The utility of the two routes is 0.962 and 0.876, and 0.912 and 0.862 without
+   * both rules.
    */
-  { "half shed",
+  { "half of the targets shed",
     { QUICK_SITE, .faults = { { SIM_FAULT_SHEDS, 0, 29, 2, 3000, 0, 0.6 } } },
     { 0.93, 0.82 } },
-  /* All targets of eight shards refuse, and the resend budget repairs a quarter of it: resends go
-   * where they can complete an answer, so that what is answered is answered in full. */
-  { "most shed",
+  /* All targets of eight shards refuse, and the resend budget covers a quarter of the refused
+   * calls: resends go where they can complete an answer, so that answers are complete. */
+  { "most targets shed",
     { QUICK_SITE, .faults = { { SIM_FAULT_SHEDS, 0, 23, 1, 3000, 0, 0.6 } } },
     { 0.13, 0.19 } },
-  /* Most targets lose 40 % of their answers after the work was done. */
-  { "most break",
+  /* Most targets lose 40 % of their answers after the calls have run. */
+  { "most lose answers",
     { QUICK_SITE, .faults = { { SIM_FAULT_LOSES_RESPONSES, 0, 25, 1, 3000, 0, 0.4 } } },
     { 0.30, 0.43 } },
-  { "a sixth slow",
+  { "a sixth is slow",
     { SITE, .faults = { { SIM_FAULT_SLOW, 0, 29, 6, 3000, 0, 8 } } },
     { 0.90, 0.90 } },
 };
 
 static void
-S_check_rules (const char *name, const SimResult *r)
+S_check_invariants (const char *name, const SimResult *r)
 {
   if (r->max_budget_excess || r->ran_twice || r->false_not_run || r->excess_attempts ||
       r->calls_after_leaving || r->deadlines_extended || r->unanswered || r->late_verdicts ||
@@ -97,7 +98,7 @@
     {
       SimResult result;
       sim_run (&cases[i].plan, &result);
-      S_check_rules (cases[i].name, &result);
+      S_check_invariants (cases[i].name, &result);
       for (guint k = 0; k < 2; k++)
         {
           const SimRouteStats *stats = &result.routes[k];
@@ -120,7 +121,7 @@
  * their targets are idle: until calls were answered, a call was assumed to take a fifth of the
  * latency goal, and the requests waiting at the start counted as a queue of many times that. */
 static void
-test_initial_estimates_are_no_load (void **state)
+test_no_overload_at_startup (void **state)
 {
   (void) state;
   for (guint seed = 1; seed <= 10; seed++)
@@ -152,7 +153,7 @@
   mr_log_set_level (MR_LOG_ERROR);
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_load),
-    cmocka_unit_test (test_initial_estimates_are_no_load),
+    cmocka_unit_test (test_no_overload_at_startup),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/test/test_target_client.c
+++ b/test/test_target_client.c
@@ -1,12 +1,10 @@
-/* Probes of targets over real sockets: does the target still accept connections?
+/* Probes over real sockets of whether a target still accepts connections.
  *
- * A process that exits closes the connections of its calls before its listener.  In between,
- * the kernel accepts a probe on behalf of the exiting process.  Such a target was taken for a
- * living one, so that its exit did not count as evidence against the request that had caused
- * it, and one request could end up to seven targets of a service, where the bound is three.
- *
- * Of 300 processes that exited, 276 accepted a connection made as soon as the other one broke,
- * and reset it within 0.1 ms, on a busy machine within 6 ms. */
+ * Guards against a crashed target that is considered alive: an exiting process closes the
+ * connections of its calls before its listener, and in between the kernel accepts the probe.  The
+ * crash then did not count as evidence, and one request could crash up to seven targets of a
+ * service, where the limit is three.  Of 300 exiting processes 276 accepted a connection made as
+ * soon as the other one broke, and reset it within 0.1 ms, on a busy machine within 6 ms. */
 
 #include "target_client.h"
 
@@ -33,7 +31,7 @@
 
 typedef enum
 {
-  TARGET_LISTENS, /* the listener accepts; nobody reads */
+  TARGET_LISTENS, /* the listener accepts; no data is read */
   TARGET_CLOSED,  /* the listener is closed */
   TARGET_EXITS,   /* the listener is closed some time after the probe began */
   TARGET_RESETS,  /* accepts and resets each connection, and goes on listening */
@@ -50,7 +48,7 @@
 static const Case cases[] = {
   { "listens", TARGET_LISTENS, MR_NEVER, TRUE },
   { "closed", TARGET_CLOSED, MR_NEVER, FALSE },
-  { "exits, and accepts a moment longer", TARGET_EXITS, 1 * MR_MS, FALSE },
+  { "exits, accepts for 1 ms more", TARGET_EXITS, 1 * MR_MS, FALSE },
   { "exits on a busy machine", TARGET_EXITS, 6 * MR_MS, FALSE },
   /* A target that is over its connection limit is not dead. */
   { "resets connections over its limit", TARGET_RESETS, MR_NEVER, TRUE },
--- a/test/test_withdrawn.c
+++ b/test/test_withdrawn.c
@@ -1,11 +1,10 @@
 /* Guards against crashes that are not counted because the target's entry is removed at the same
  * moment.
  *
- * The relay took such a target for one that was stopped as planned, so that the crash of a trial
- * there was no evidence: a content that had crashed three searchers reached four more.  In the log,
- * the request's line (E1703) has cause "suspect" and a broken call, E1403 "no longer listed" is in
- * the same millisecond, and no E1409 follows.  Seen in a soak test, after the loss of all relays.
- */
+ * If such a target is considered stopped as planned, the crash of a trial is no evidence: a content
+ * that had crashed three searchers reached four more in a soak test, after the loss of all relays.
+ * In the log, the request's line (E1703) has cause "suspect" and a broken call, E1403 "no longer
+ * listed" is in the same millisecond, and no E1409 follows. */
 
 #include "relay_site.h"
 
