--- a/test/process_silent.sh
+++ b/test/process_silent.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Established connections go silent for good while new ones work.
+# Established connections stop responding permanently while new ones work.
 #
 # Callers keep getting complete responses within their deadline: calls on the silent
 # connections get no response, hedges to other replicas serve the searches, a probe on a new
--- a/test/prop_documents.cpp
+++ b/test/prop_documents.cpp
@@ -124,7 +124,7 @@
 
 // The checker: examines what comes into force at a daemon.
 void
-replication_on_taken (MrReplicationHost *host, const MrObject *object)
+replication_updated (MrReplicationHost *host, const MrObject *object)
 {
   Daemon *d = daemon_of_replication (host);
   Simulation *sim = d->simulation;
@@ -165,7 +165,7 @@
 Simulation::start_daemon (Daemon &d)
 {
   d.controller_host = { controller_write, controller_read };
-  d.replication_host = { replication_send, replication_neighbours, replication_on_taken };
+  d.replication_host = { replication_send, replication_neighbours, replication_updated };
   d.registry = mr_registry_new ();
   d.replication = mr_replication_new (&d.replication_host, d.registry, d.name.c_str ());
   d.controller = mr_controller_new (&d.controller_host);
--- a/test/soak/soak.c
+++ b/test/soak/soak.c
@@ -23,7 +23,7 @@
  *   answered   an undisturbed relay responds within the route's time limit
  *   heals      after the last fault every relay serves complete responses from the newest
  *              configuration version
- *   named      and each relay lists all relays to callers */
+ *   named      after the last fault each relay lists all relays to callers */
 
 #include "soak.h"
 
@@ -78,9 +78,9 @@
 }
 
 MrTime
-soak_random_time (Soak *s, double least_ms, double most_ms)
+soak_random_time (Soak *s, double min_ms, double max_ms)
 {
-  return (MrTime) (g_rand_double_range (s->random, least_ms, most_ms) * (double) MR_MS);
+  return (MrTime) (g_rand_double_range (s->random, min_ms, max_ms) * (double) MR_MS);
 }
 
 /* Main loop. */
@@ -102,9 +102,9 @@
 }
 
 static MrTime
-S_random_seconds (GRand *random, double least, double most)
+S_random_seconds (GRand *random, double min_s, double max_s)
 {
-  return (MrTime) (g_rand_double_range (random, least, most) * (double) MR_SECOND);
+  return (MrTime) (g_rand_double_range (random, min_s, max_s) * (double) MR_SECOND);
 }
 
 static void
@@ -290,7 +290,7 @@
   mr_log_set_level (MR_LOG_ERROR);
   signal (SIGPIPE, SIG_IGN);
   setvbuf (stdout, NULL, _IOLBF, 0);
-  /* Static, because it and all it owns live until the process exits. */
+  /* Static, because the object and all its members are used until the process exits. */
   static Soak s;
   s = (Soak){
     .handler = { .on_tick = S_on_tick },
--- a/test/soak/soak.h
+++ b/test/soak/soak.h
@@ -135,7 +135,7 @@
 void soak_violation (Soak *s, const char *format, ...) G_GNUC_PRINTF (2, 3);
 void soak_log (const Soak *s, const char *format, ...) G_GNUC_PRINTF (2, 3);
 guint soak_random_below (Soak *s, guint below);
-MrTime soak_random_time (Soak *s, double least_ms, double most_ms);
+MrTime soak_random_time (Soak *s, double min_ms, double max_ms);
 
 void soak_start_standin (
     Soak *s, Child *child, const char *role, int port, const char *id, const char *log);
--- a/test/soak/soak_faults.c
+++ b/test/soak/soak_faults.c
@@ -128,9 +128,9 @@
   soak_http_send (soak_first_port + STORE_PORT, begins ? "PUT" : "DELETE", path, "{}");
   soak_log (s, "z%u is %s", e->domain, begins ? "evacuated" : "in use again");
   e->since = begins ? s->now : 0;
-  double least = begins ? 3 : 0.2;
-  double most = begins ? 9 : 4;
-  e->next = s->now + (MrTime) (g_rand_double_range (e->random, least, most) * (double) MR_SECOND);
+  double min_s = begins ? 3 : 0.2;
+  double max_s = begins ? 9 : 4;
+  e->next = s->now + (MrTime) (g_rand_double_range (e->random, min_s, max_s) * (double) MR_SECOND);
 }
 
 static void
--- a/test/test_bootstrap.c
+++ b/test/test_bootstrap.c
@@ -32,13 +32,13 @@
     MrTime each_ms;  /* limit between the start of a daemon and its readiness */
     guint reads;     /* limit */
   } cases[] = {
-    { "six at once", 6, 0, FALSE, 60, 90, 5 },
-    { "six within 0.3 s", 6, 300, FALSE, 80, 90, 6 },
-    { "six, seeds last", 6, 300, TRUE, 80, 90, 6 },
-    { "eighty at once", 80, 0, FALSE, 30, 90, 20 },
-    { "eighty within 0.3 s", 80, 300, FALSE, 80, 90, 40 },
+    { "six daemons at once", 6, 0, FALSE, 60, 90, 5 },
+    { "six daemons within 0.3 s", 6, 300, FALSE, 80, 90, 6 },
+    { "six daemons, seeds last", 6, 300, TRUE, 80, 90, 6 },
+    { "eighty daemons at once", 80, 0, FALSE, 30, 90, 20 },
+    { "eighty daemons within 0.3 s", 80, 300, FALSE, 80, 90, 40 },
     /* Daemons that start before all seeds know no others and read the store. */
-    { "eighty, seeds last", 80, 300, TRUE, 80, 90, 80 },
+    { "eighty daemons, seeds last", 80, 300, TRUE, 80, 90, 80 },
   };
   (void) state;
   mr_log_set_level (MR_LOG_ERROR);
@@ -259,9 +259,9 @@
     MrTime from_ms; /* range of the time from which the store may be read */
     MrTime to_ms;
   } cases[] = {
-    { "six at once", TRUE, 6, 10, 1200, 1300 },
-    { "a thousand in two seconds", TRUE, 1000, 2, 2250, 2350 },
-    { "a thousand, growing past the limit", TRUE, 1000, 20, 5950, 6050 },
+    { "six members at once", TRUE, 6, 10, 1200, 1300 },
+    { "a thousand members in two seconds", TRUE, 1000, 2, 2250, 2350 },
+    { "a thousand members, growing past the limit", TRUE, 1000, 20, 5950, 6050 },
     { "restart after a loss of all", FALSE, 1000, 2, 0, 70 },
   };
   (void) state;
--- a/test/test_cold.c
+++ b/test/test_cold.c
@@ -50,7 +50,7 @@
     { "a third of the targets turns cold during operation",
       { SITE, .cold_rate = 10, .faults = { { SIM_FAULT_COLD, 0, 29, 3, 4000, 9000, 0 } } },
       { 0.93, 0.93 } },
-    { "two thirds, one third after the other",
+    { "two thirds of the targets in sequence",
       { SITE, .cold_rate = 10,
         .faults = { { SIM_FAULT_COLD, 0, 29, 3, 4000, 8000, 0 },
                     { SIM_FAULT_COLD, 1, 29, 3, 6000, 10000, 0 } } },
--- a/test/test_control.c
+++ b/test/test_control.c
@@ -268,9 +268,9 @@
                                    .last_vm_alone = cases[i].lone_vm };
       Fleet *fleet = S_start_fleet (&layout);
       cases[i].event (fleet);
-      MrTime took = fleet_run_until (fleet, fleet_converged, TIMEOUT);
-      print_message ("%s: %.2f s\n", cases[i].name, (double) took / MR_SECOND);
-      if (took > (MrTime) (cases[i].seconds * MR_SECOND))
+      MrTime elapsed = fleet_run_until (fleet, fleet_converged, TIMEOUT);
+      print_message ("%s: %.2f s\n", cases[i].name, (double) elapsed / MR_SECOND);
+      if (elapsed > (MrTime) (cases[i].seconds * MR_SECOND))
         fail_msg ("%s", cases[i].name);
       fleet_free (fleet);
     }
@@ -321,9 +321,9 @@
     void (*event) (Fleet *fleet);
     double seconds;
   } cases[] = {
-    { "seven", 7, NULL, 0.1 },
-    { "sixty", MEDIUM, NULL, 0.3 },
-    { "hundreds", LARGE, NULL, 0.5 },
+    { "seven daemons", 7, NULL, 0.1 },
+    { "sixty daemons", MEDIUM, NULL, 0.3 },
+    { "hundreds of daemons", LARGE, NULL, 0.5 },
     { "while a hundred targets are replaced", LARGE, S_replace_half, 0.5 },
     { "while a daemon is killed", MEDIUM, S_kill_daemon, 0.5 },
     { "while a domain is lost", MEDIUM, S_domain_lost, 0.5 },
@@ -344,9 +344,9 @@
       S_offer_evidence (fleet, cases[i].count - 1);
       if (cases[i].event)
         cases[i].event (fleet);
-      MrTime took = fleet_run_until (fleet, S_all_know, TIMEOUT);
-      print_message ("evidence, %s: %.2f s\n", cases[i].name, (double) took / MR_SECOND);
-      if (took > (MrTime) (cases[i].seconds * MR_SECOND))
+      MrTime elapsed = fleet_run_until (fleet, S_all_know, TIMEOUT);
+      print_message ("evidence, %s: %.2f s\n", cases[i].name, (double) elapsed / MR_SECOND);
+      if (elapsed > (MrTime) (cases[i].seconds * MR_SECOND))
         fail_msg ("%s", cases[i].name);
       fleet_free (fleet);
     }
--- a/test/test_dispatch.c
+++ b/test/test_dispatch.c
@@ -257,7 +257,7 @@
 
 /* Makes the probes of both targets succeed. */
 static void
-S_revive_targets (Fixture *fixture, MrTime now)
+S_recover_targets (Fixture *fixture, MrTime now)
 {
   mr_dispatch_tick (fixture->dispatch, now);
   mr_dispatch_probe_end (fixture->dispatch, now, "10.0.0.1:80", true);
@@ -287,7 +287,7 @@
       while (!g_queue_is_empty (fixture.open_calls))
         S_crash_targets (&fixture, now);
       now += 3 * MR_SECOND;
-      S_revive_targets (&fixture, now);
+      S_recover_targets (&fixture, now);
       S_search (&fixture, now, MR_TRAFFIC_CLASS_URGENT);
       mr_dispatch_tick (fixture.dispatch, now);
     }
--- a/test/test_evacuation.c
+++ b/test/test_evacuation.c
@@ -32,13 +32,13 @@
     SimPlan plan;
     double min_utility[2]; /* utility of each route, as a share of its requests */
   } cases[] = {
-    { "one of three",
+    { "one domain of three",
       { SITE, .faults = { { SIM_FAULT_EVACUATED, 0, 0, 1, 4000, 0, 0 } } },
       { 0.9, 0.9 } },
-    { "one, for three seconds",
+    { "one domain, for three seconds",
       { SITE, .faults = { { SIM_FAULT_EVACUATED, 1, 1, 1, 4000, 7000, 0 } } },
       { 0.93, 0.93 } },
-    { "one after the other",
+    { "three domains in sequence",
       { SITE, .faults = { { SIM_FAULT_EVACUATED, 0, 0, 1, 4000, 8000, 0 },
                           { SIM_FAULT_EVACUATED, 1, 1, 1, 8000, 12000, 0 },
                           { SIM_FAULT_EVACUATED, 2, 2, 1, 12000, 16000, 0 } } },
@@ -50,7 +50,7 @@
       { SITE, .faults = { { SIM_FAULT_EVACUATED, 0, 0, 1, 4000, 4400, 0 },
                           { SIM_FAULT_EVACUATED, 0, 0, 1, 4500, 0, 0 } } },
       { 0.9, 0.9 } },
-    { "all, for two seconds",
+    { "all domains, for two seconds",
       { SITE, .faults = { { SIM_FAULT_EVACUATED, 0, 2, 1, 4000, 6000, 0 } } },
       { 0.85, 0.85 } },
   };
@@ -129,12 +129,12 @@
     void (*inject_fault) (Fleet *fleet);
     double seconds;
   } cases[] = {
-    { "six", 6, NULL, 0.1 },
-    { "seventy-three", MEDIUM_FLEET, NULL, 0.3 },
-    { "hundreds", LARGE_FLEET, NULL, 0.5 },
+    { "six daemons", 6, NULL, 0.1 },
+    { "seventy-three daemons", MEDIUM_FLEET, NULL, 0.3 },
+    { "hundreds of daemons", LARGE_FLEET, NULL, 0.5 },
     { "a domain without the store", MEDIUM_FLEET, S_cut_domain_from_store, 0.5 },
     { "two domains cut from each other", MEDIUM_FLEET, S_cut_domains, 0.5 },
-    { "a cut one way", LARGE_FLEET, S_cut_one_way, 0.5 },
+    { "a one-way cut", LARGE_FLEET, S_cut_one_way, 0.5 },
   };
   (void) state;
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -156,10 +156,10 @@
         {
           expected_version = versions[v];
           S_offer_to_watchers (fleet, versions[v]);
-          MrTime took = fleet_run_until (fleet, S_all_have_version, 10 * MR_SECOND);
+          MrTime elapsed = fleet_run_until (fleet, S_all_have_version, 10 * MR_SECOND);
           print_message ("%s, version %u: %.2f s\n", cases[i].name, (guint) v,
-                         (double) took / MR_SECOND);
-          if (took > (MrTime) (cases[i].seconds * MR_SECOND))
+                         (double) elapsed / MR_SECOND);
+          if (elapsed > (MrTime) (cases[i].seconds * MR_SECOND))
             fail_msg ("%s", cases[i].name);
         }
       fleet_free (fleet);
--- a/test/test_homes.c
+++ b/test/test_homes.c
@@ -43,7 +43,7 @@
 }
 
 static void
-S_ignore_drop (MrRelayHost *host, guint64 id)
+S_ignore_close_call (MrRelayHost *host, guint64 id)
 {
   (void) host;
   (void) id;
@@ -103,7 +103,7 @@
     {
       Caller c = {
         .host = { .send_call = S_on_call,
-                  .close_call = S_ignore_drop,
+                  .close_call = S_ignore_close_call,
                   .probe = S_ignore_target,
                   .reconnect = S_ignore_target,
                   .request_done = S_on_done },
--- a/test/test_incarnation.c
+++ b/test/test_incarnation.c
@@ -32,7 +32,7 @@
   gboolean removed;
 } Offer;
 
-/* Guards against calls to an address where nothing listens while the shard's live process gets
+/* Guards against calls to an address where nothing listens while the shard's running process gets
  * none.  A target is restarted, and a delayed write of its old process reaches the store after the
  * entry of the new one.  The more recently started process wins among the entries that
  * are applied; a lower revision that arrives after a higher one is ignored. */
@@ -86,7 +86,7 @@
     }
 }
 
-/* Two daemons read the store at different times: one saw the new entry and then the old one that
+/* Two daemons read the store at different times: one read the new entry and then the old one that
  * replaced it, the other only the old one.  The entry of the first is newer, so the second accepts
  * it. */
 static void
@@ -95,21 +95,21 @@
   (void) state;
   g_autofree char *old = S_entry (OLD_START);
   g_autofree char *new = S_entry (NEW_START);
-  MrRegistry *saw_both = mr_registry_new ();
-  MrRegistry *saw_last = mr_registry_new ();
-  mr_registry_offer (saw_both, MR_OBJECT_TARGET, MR_TEXT ("i-1"), 4, mr_text (new));
+  MrRegistry *read_both = mr_registry_new ();
+  MrRegistry *read_last = mr_registry_new ();
+  mr_registry_offer (read_both, MR_OBJECT_TARGET, MR_TEXT ("i-1"), 4, mr_text (new));
   assert_int_equal (
-      mr_registry_offer (saw_both, MR_OBJECT_TARGET, MR_TEXT ("i-1"), 8, mr_text (old)),
+      mr_registry_offer (read_both, MR_OBJECT_TARGET, MR_TEXT ("i-1"), 8, mr_text (old)),
       MR_OFFER_BODY_REJECTED);
-  mr_registry_offer (saw_last, MR_OBJECT_TARGET, MR_TEXT ("i-1"), 8, mr_text (old));
-  assert_true (mr_registry_digest (saw_both) != mr_registry_digest (saw_last));
-  const MrObject *held = mr_registry_get (saw_both, MR_OBJECT_TARGET, "i-1");
-  assert_int_equal (mr_registry_offer (saw_last, MR_OBJECT_TARGET, MR_TEXT ("i-1"), held->version,
-                                       mr_text_of (held->body)),
+  mr_registry_offer (read_last, MR_OBJECT_TARGET, MR_TEXT ("i-1"), 8, mr_text (old));
+  assert_true (mr_registry_digest (read_both) != mr_registry_digest (read_last));
+  const MrObject *kept = mr_registry_get (read_both, MR_OBJECT_TARGET, "i-1");
+  assert_int_equal (mr_registry_offer (read_last, MR_OBJECT_TARGET, MR_TEXT ("i-1"), kept->version,
+                                       mr_text_of (kept->body)),
                     MR_OFFER_NEW);
-  assert_int_equal (mr_registry_digest (saw_both), mr_registry_digest (saw_last));
-  mr_registry_free (saw_both);
-  mr_registry_free (saw_last);
+  assert_int_equal (mr_registry_digest (read_both), mr_registry_digest (read_last));
+  mr_registry_free (read_both);
+  mr_registry_free (read_last);
 }
 
 /* A host that records the calls made to it. */
@@ -120,7 +120,7 @@
   guint64 last_call;
   char last_target[MR_NAME_MAX + 1];
   guint64 last_started; /* of that target */
-  guint drops;
+  guint closed_calls;
   guint done;
   guint refused;
   MrRelayResult result;
@@ -137,14 +137,14 @@
 }
 
 static void
-S_on_drop (MrRelayHost *host, guint64 id)
+S_on_close_call (MrRelayHost *host, guint64 id)
 {
   (void) id;
-  ((Host *) host)->drops++;
+  ((Host *) host)->closed_calls++;
 }
 
 static void
-S_on_target (MrRelayHost *host, const MrTargetState *target)
+S_ignore_target (MrRelayHost *host, const MrTargetState *target)
 {
   (void) host;
   (void) target;
@@ -165,13 +165,13 @@
 {
   *host = (Host){
     .host = { .send_call = S_on_call,
-              .close_call = S_on_drop,
-              .probe = S_on_target,
-              .reconnect = S_on_target,
+              .close_call = S_on_close_call,
+              .probe = S_ignore_target,
+              .reconnect = S_ignore_target,
               .request_done = S_on_done,
               .free_answer = g_free },
   };
-  MrRelayOptions info = {
+  MrRelayOptions options = {
     .policy = &mr_relay_policy,
     .budget = { .window = 10 * MR_SECOND,
                 .ratio = 0.2,
@@ -180,7 +180,7 @@
                 .started_at = -10 * MR_SECOND },
     .seed = 1,
   };
-  MrRelay *relay = mr_relay_new (&host->host, &info);
+  MrRelay *relay = mr_relay_new (&host->host, &options);
   MrRelayShares shares = { .connections = 1, .slots = 1, .allowance = 1 };
   mr_relay_set_shares (relay, &shares);
   return relay;
@@ -189,7 +189,7 @@
 static const MrRouteService part = { .service = "s", .weight = 1 };
 
 static void
-S_add (MrRelay *relay, MrTime now, guint64 started, gboolean leaving)
+S_update_target (MrRelay *relay, MrTime now, guint64 started, gboolean leaving)
 {
   MrTarget target = { .id = "i-1", .ip = "10.0.0.1", .port = 80, .domain = "d", .slots = 4 };
   target.connections = 4;
@@ -198,12 +198,12 @@
 }
 
 static MrRoute
-S_route (gboolean repeatable)
+S_route (gboolean idempotent)
 {
   return (MrRoute){
     .name = "r",
     .kind = MR_ROUTE_SERVICE,
-    .idempotent = repeatable,
+    .idempotent = idempotent,
     .time_limit = 2 * MR_SECOND,
     .latency_goal = 400 * MR_MS,
     .attempt_limit = 2,
@@ -230,7 +230,7 @@
   static const struct
   {
     const char *name;
-    gboolean repeatable;
+    gboolean idempotent;
     guint calls; /* in total */
     guint verdicts;
   } cases[] = {
@@ -242,18 +242,18 @@
     {
       Host host;
       MrRelay *relay = S_relay (&host);
-      MrRoute route = S_route (cases[i].repeatable);
-      S_add (relay, 0, OLD_START, FALSE);
+      MrRoute route = S_route (cases[i].idempotent);
+      S_update_target (relay, 0, OLD_START, FALSE);
       MrTarget other = { .id = "i-2", .ip = "10.0.0.2", .port = 80, .domain = "d", .slots = 4 };
       other.connections = 4;
       S_submit (relay, 10, &host, &route);
       assert_int_equal (host.calls, 1);
       mr_relay_update_target (relay, 15, "s", &other, FALSE, 0);
-      S_add (relay, 20, NEW_START, FALSE);
-      assert_int_equal (host.drops, 1);
+      S_update_target (relay, 20, NEW_START, FALSE);
+      assert_int_equal (host.closed_calls, 1);
       if (host.calls != cases[i].calls || host.done != cases[i].verdicts)
         fail_msg ("%s: %u calls, %u verdicts", cases[i].name, host.calls, host.done);
-      if (!cases[i].repeatable)
+      if (!cases[i].idempotent)
         assert_int_equal (host.result.verdict, MR_VERDICT_FAILED);
       mr_relay_free (relay);
     }
@@ -268,12 +268,12 @@
   Host host;
   MrRelay *relay = S_relay (&host);
   MrRoute route = S_route (TRUE);
-  S_add (relay, 0, OLD_START, FALSE);
-  S_add (relay, 5, OLD_START, TRUE);
+  S_update_target (relay, 0, OLD_START, FALSE);
+  S_update_target (relay, 5, OLD_START, TRUE);
   S_submit (relay, 10, &host, &route);
   assert_int_equal (host.calls, 0); /* the target is leaving */
   assert_int_equal (host.result.verdict, MR_VERDICT_REFUSED);
-  S_add (relay, 20, NEW_START, FALSE);
+  S_update_target (relay, 20, NEW_START, FALSE);
   S_submit (relay, 30, &host, &route);
   assert_int_equal (host.calls, 1);
   assert_int_equal (host.last_started, NEW_START);
@@ -285,7 +285,7 @@
   guint before = host.calls;
   S_submit (relay, 50, &host, &route);
   assert_int_equal (host.calls, before); /* down, after three failures */
-  S_add (relay, 60, NEW_START + 1, FALSE);
+  S_update_target (relay, 60, NEW_START + 1, FALSE);
   S_submit (relay, 70, &host, &route);
   assert_int_equal (host.calls, before + 1);
   assert_int_equal (host.last_started, NEW_START + 1);
@@ -306,13 +306,13 @@
   Host host;
   MrRelay *relay = S_relay (&host);
   MrRoute route = S_route (TRUE);
-  S_add (relay, 0, OLD_START, FALSE);
+  S_update_target (relay, 0, OLD_START, FALSE);
   for (guint i = 0; i < REQUESTS; i++)
     S_submit (relay, 10, &host, &route);
   guint initial_calls = host.calls;
   assert_true (initial_calls < REQUESTS);
   assert_int_equal (host.done, 0);
-  S_add (relay, 20, NEW_START, FALSE);
+  S_update_target (relay, 20, NEW_START, FALSE);
   assert_int_equal (host.refused, 0);
   assert_true (host.calls > initial_calls);
   assert_int_equal (host.last_started, NEW_START);
@@ -328,10 +328,10 @@
   Host host;
   MrRelay *relay = S_relay (&host);
   MrRoute route = S_route (FALSE);
-  S_add (relay, 0, NEW_START, FALSE);
+  S_update_target (relay, 0, NEW_START, FALSE);
   S_submit (relay, 10, &host, &route);
-  S_add (relay, 20, NEW_START, FALSE);
-  assert_int_equal (host.drops, 0);
+  S_update_target (relay, 20, NEW_START, FALSE);
+  assert_int_equal (host.closed_calls, 0);
   assert_int_equal (host.done, 0);
   mr_relay_call_end (relay, 30, host.last_call, MR_CALL_ANSWER, g_strdup ("x"));
   assert_int_equal (host.result.verdict, MR_VERDICT_ANSWER);
--- a/test/test_peer_link.c
+++ b/test/test_peer_link.c
@@ -51,9 +51,9 @@
     }
 }
 
-/* When all daemons start at once, all of them send requests to the same few seeds.  A socket per
- * requester that was kept open for a minute made a seed of 985 daemons use 92 MB; with 1,970
- * daemons a small VM would run out of memory. */
+/* Guards against sockets that stay open after a request: when all daemons start at once, all send
+ * requests to the same few seeds.  A socket per requester that was kept open for a minute made a
+ * seed of 985 daemons use 92 MB; with 1,970 daemons a small VM would run out of memory. */
 static void
 test_requests (void **state)
 {
--- a/test/test_soft_deadline.c
+++ b/test/test_soft_deadline.c
@@ -50,8 +50,8 @@
     }
 }
 
-/* Guards against a fixed overhead: one that fits one size of VM makes the responses of smaller
- * VMs late, and on larger ones takes time from waiting for shards. */
+/* Guards against a fixed overhead: a value that fits a VM of one size makes the responses of
+ * smaller VMs late, and on larger VMs shortens the wait for shards. */
 static void
 test_response_overhead (void **state)
 {
