--- a/src/caller_server.c
+++ b/src/caller_server.c
@@ -26,8 +26,8 @@
 /* Time for the caller to close a connection whose end was announced; after that the server
  * closes it. */
 static const MrTime CLOSE_TIMEOUT = 1 * MR_SECOND;
-/* Idle connections are kept this much longer than callers are told, so that a request at the
- * last moment does not cross the server's close. */
+/* Idle connections are kept this much longer than the configured idle timeout, so that a
+ * request sent at the last moment does not arrive after the server has closed the connection. */
 static const MrTime IDLE_GRACE = 500 * MR_MS;
 
 struct _MrCaller
--- a/src/caller_server.h
+++ b/src/caller_server.h
@@ -2,7 +2,7 @@
  *
  * A connection carries one request at a time, limited in size and time, and is closed only when
  * no request can be lost by it.  The host gets complete requests and answers each exactly once,
- * at any time, unless it is told that the caller has disconnected. */
+ * at any time, unless disconnected () reports that the caller has closed its connection. */
 #pragma once
 
 #include "configuration.h"
--- a/src/control_evidence.c
+++ b/src/control_evidence.c
@@ -7,7 +7,7 @@
 /* Delay before a failed write, or one whose answer was lost, is repeated. */
 static const MrTime WRITE_RETRY_DELAY = 500 * MR_MS;
 
-static const char kind[] = "quarantine";
+static const char OBJECT_KIND[] = "quarantine";
 
 /* Notifies the tasks that send requests. */
 static void
@@ -206,7 +206,7 @@
       context->now < saved->retry_at)
     return;
   g_autofree char *json = mr_evidence_write (evidence, mr_unix_time ());
-  MrPlatformRequest *request = mr_platform_request_new (MR_PLATFORM_WRITE, kind, name);
+  MrPlatformRequest *request = mr_platform_request_new (MR_PLATFORM_WRITE, OBJECT_KIND, name);
   request->expected_version = saved->version;
   request->body = g_string_new (json);
   saved->write_pending = TRUE;
--- a/src/control_peers.c
+++ b/src/control_peers.c
@@ -70,7 +70,7 @@
 }
 
 static void
-S_on_forget (MrControlTask *task, const MrWireMessage *message)
+S_on_cancel_batch (MrControlTask *task, const MrWireMessage *message)
 {
   MrOrigin origin = { .incarnation = message->root_incarnation, .batch_id = message->batch_id };
   g_strlcpy (origin.root, message->sender, sizeof origin.root);
@@ -109,7 +109,7 @@
 /* A connection that was opened to a process that has exited, or while its VM was off, would
  * delay the answer to the new process by a second. */
 static void
-S_renew_link (MrControlTask *task, MrTime now, const MrHeartbeat *heartbeat)
+S_reconnect_if_restarted (MrControlTask *task, MrTime now, const MrHeartbeat *heartbeat)
 {
   const MrMember *from = &heartbeat->from;
   const MrMember *known = mr_membership_find (task->membership, from->name);
@@ -124,7 +124,7 @@
     {
     case MR_WIRE_HEARTBEAT:
     case MR_WIRE_MEMBERS:
-      S_renew_link (task, now, &message->heartbeat);
+      S_reconnect_if_restarted (task, now, &message->heartbeat);
       task->ack_on_connection = message->heartbeat.kind == MR_HEARTBEAT_PING &&
                                 message->heartbeat.members_request == MR_MEMBERS_REQUEST_SAMPLE;
       mr_membership_receive (task->membership, now, &message->heartbeat);
@@ -147,7 +147,7 @@
       S_on_partial (task, message);
       break;
     case MR_WIRE_CANCEL_BATCH:
-      S_on_forget (task, message);
+      S_on_cancel_batch (task, message);
       break;
     case MR_WIRE_ORDER:
       S_on_order (task, message);
--- a/src/control_platform.c
+++ b/src/control_platform.c
@@ -160,7 +160,7 @@
  * are shorter and reveal that the store is back; the long watch of evacuations is then
  * replaced. */
 static void
-S_renew_evacuation_watch (MrControlTask *task)
+S_restart_evacuation_watch (MrControlTask *task)
 {
   MrWatch *watch = &task->watches[WATCH_EVACUATIONS];
   if (watch->has_succeeded)
@@ -177,7 +177,7 @@
   task->platform_up = up;
   task->view_changed = TRUE;
   if (up)
-    S_renew_evacuation_watch (task);
+    S_restart_evacuation_watch (task);
   mr_removal_filter_set_store_up (task->removal_filter, mr_now (), up);
   mr_membership_set_platform_unreachable (task->membership, mr_now (), !up);
   mr_log (up ? MR_LOG_NOTICE : MR_LOG_WARNING,
--- a/src/control_start.c
+++ b/src/control_start.c
@@ -5,8 +5,8 @@
  * request that makes targets exit was sent to one target of each shard at once (three of three
  * in the process_quarantine_starts test). The relay therefore reads everything together and
  * defers its offers, to itself and to its peers, until quarantines and evacuations are known.
- * Whoever holds a configuration has received the restrictions before, from the store or from a
- * peer.
+ * A daemon that holds a configuration has already received the restrictions, from the store or
+ * from a peer.
  *
  * If the store lists everything except the restrictions, the deferral ends after DEFERRAL_MAX.
  * It does not end if the store merely stops answering after it has listed the routes: a relay
--- a/src/control_task.c
+++ b/src/control_task.c
@@ -422,13 +422,13 @@
   task->controller = mr_controller_new (&task->controller_host);
   mr_control_view_update_member (task, &self);
   S_read_seeds (task);
-  MrBootstrapOptions joining = {
+  MrBootstrapOptions bootstrap = {
     .first_start = info->settings->first_start,
     .no_other_seeds = task->seeds->len == 0,
     .random = g_rand_double (task->random),
     .capacity = (guint32) info->settings->capacity,
   };
-  mr_bootstrap_init (&task->bootstrap, task->start_time, &joining);
+  mr_bootstrap_init (&task->bootstrap, task->start_time, &bootstrap);
   return task;
 }
 
--- a/src/ctl_plot.c
+++ b/src/ctl_plot.c
@@ -230,7 +230,7 @@
 {
   int baseline; /* y coordinate of the bottom of the bars */
   guint segment_count;
-  /* Returns the height of one segment as a fraction of the plot; its full height stands for @max.
+  /* Returns the height of one segment as a fraction of the plot; its full height represents @max.
    */
   double (*share) (const SecondCounts *second, guint segment, double max);
   double max;
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -8,8 +8,8 @@
 #include "target_task.h"
 #include "task_message.h"
 
-/* After the entry task has stopped: time for the last heartbeat, which tells the other daemons that
- * this one has left. */
+/* After the entry task has stopped: time to send the last heartbeat, which announces to the other
+ * daemons that this one has left. */
 static const MrTime SHUTDOWN_DELAY = 300 * MR_MS;
 
 typedef struct
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -318,20 +318,20 @@
 }
 
 static void
-S_publish_evidence (MrRelayHost *host, MrFingerprint content, const MrEvidence *evidence)
+S_publish_evidence (MrRelayHost *host, MrFingerprint fingerprint, const MrEvidence *evidence)
 {
   MrDispatchHost *dispatch_host = ((MrDispatch *) host)->host;
   if (dispatch_host->publish_evidence)
-    dispatch_host->publish_evidence (dispatch_host, content, evidence);
+    dispatch_host->publish_evidence (dispatch_host, fingerprint, evidence);
 }
 
 void
 mr_dispatch_merge_evidence (MrDispatch *d,
                             MrTime now,
-                            MrFingerprint content,
+                            MrFingerprint fingerprint,
                             const MrEvidence *evidence)
 {
-  mr_relay_merge_evidence (d->relay, now, content, evidence);
+  mr_relay_merge_evidence (d->relay, now, fingerprint, evidence);
 }
 
 static void
--- a/src/dispatch.h
+++ b/src/dispatch.h
@@ -59,10 +59,10 @@
   void (*reconnect) (MrDispatchHost *host, const MrTargetState *target);
   /* Takes ownership of @partial.  Must not call the dispatcher. */
   void (*deliver_partial) (MrDispatchHost *host, MrPartial *partial);
-  /* Shares new evidence of targets that crashed under @content with the other daemons.  NULL if
-   * there are none. */
+  /* Shares new evidence of targets that crashed under the content @fingerprint with the other
+   * daemons.  NULL if there are none. */
   void (*publish_evidence) (MrDispatchHost *host,
-                            MrFingerprint content,
+                            MrFingerprint fingerprint,
                             const MrEvidence *evidence);
 };
 
@@ -101,10 +101,10 @@
 gboolean mr_dispatch_call_end (MrDispatch *dispatch, MrTime now, MrCallResult *result);
 void mr_dispatch_probe_end (MrDispatch *dispatch, MrTime now, const char *key, bool answered);
 
-/* Merges evidence from other daemons on @content; NULL removes all evidence. */
+/* Merges evidence from other daemons on the content @fingerprint; NULL removes all evidence. */
 void mr_dispatch_merge_evidence (MrDispatch *dispatch,
                                  MrTime now,
-                                 MrFingerprint content,
+                                 MrFingerprint fingerprint,
                                  const MrEvidence *evidence);
 
 /* Sets whether the list of VMs or the shard map marks the target as leaving. */
--- a/src/entry_task.c
+++ b/src/entry_task.c
@@ -24,7 +24,7 @@
 
 static const MrTime LOAD_CHECK_INTERVAL = 1 * MR_SECOND;
 /* Added to the keep time of a planned stop: callers may get this daemon's address until the other
- * daemons have heard that it is leaving. */
+ * daemons have been notified that it is leaving. */
 static const MrTime LEAVING_MARGIN = 1 * MR_SECOND;
 /* After the keep time, a period without requests that shows that callers have switched to other
  * daemons. */
--- a/src/evidence.c
+++ b/src/evidence.c
@@ -12,9 +12,9 @@
 static const guint QUARANTINE_MIN_OCCASIONS = 2;
 /* With this many crashes any trial may cause the third. */
 static const guint EXCLUSIVE_TRIAL_CRASHES = 2;
-/* Delay before the one probation trial of a quarantined content.  A search that was blamed for the
- * loss of a rack is served again once that is over; a content that does crash its targets crashes
- * one more. */
+/* Delay before the one probation trial of a quarantined content.  A search that was quarantined
+ * because of the loss of a rack is served again after the loss; a content that does crash its
+ * targets crashes one more. */
 static const guint32 PROBATION_DELAY_S = 30;
 /* Lifetime of a suspicion without new evidence, and of the record that a content was cleared.
  * Callers repeat requests within seconds. */
--- a/src/evidence.h
+++ b/src/evidence.h
@@ -1,9 +1,9 @@
 /* Evidence that one content crashes targets.
  *
- * A content that crashes each target that runs it has to be told from one that was merely running
- * when targets crashed for other reasons.  The evidence counts the targets that crashed after they
- * had begun the content, and the separate occasions on which they did.  A single correct answer,
- * from any target, voids all evidence.
+ * A content that crashes each target that runs it has to be distinguished from a content that was
+ * only running when targets crashed for other reasons.  The evidence counts the targets that
+ * crashed after they had begun the content, and the separate occasions on which they did.  A single
+ * correct answer, from any target, voids all evidence.
  *
  *   clear        no evidence
  *   suspect      a target has crashed: the content is sent to one target at a time
--- a/src/histogram.c
+++ b/src/histogram.c
@@ -1,6 +1,6 @@
 #include "histogram.h"
 
-/* log2 (MR_HISTOGRAM_STEPS) */
+/* log2 (MR_HISTOGRAM_SUBBUCKETS) */
 enum
 {
   SUBBUCKET_BITS = 4
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -2,8 +2,8 @@
  *
  * A slot is a client vhost.  libwebsockets keeps at most one idle connection per vhost and server,
  * and queues further calls behind it, so that a slot carries one call per server at a time.  The
- * user of the client picks a free slot for each call; for each server, a slot stands for one
- * persistent connection. */
+ * user of the client picks a free slot for each call; for each server, a slot corresponds to
+ * one persistent connection. */
 #pragma once
 
 #include "loop.h"
--- a/src/member.c
+++ b/src/member.c
@@ -6,7 +6,7 @@
 typedef struct
 {
   MrMemberList list; /* first, so that an MrMemberList can be cast to it */
-  atomic_int references;
+  atomic_int reference_count;
 } SharedList;
 
 static int
@@ -19,7 +19,7 @@
 mr_member_list_new (const MrMember *members, guint count)
 {
   SharedList *shared = g_new0 (SharedList, 1);
-  atomic_init (&shared->references, 1);
+  atomic_init (&shared->reference_count, 1);
   shared->list.count = count;
   shared->list.members = g_new0 (MrMember, MAX (count, 1));
   if (count > 0)
@@ -31,14 +31,14 @@
 MrMemberList *
 mr_member_list_ref (MrMemberList *list)
 {
-  atomic_fetch_add (&((SharedList *) list)->references, 1);
+  atomic_fetch_add (&((SharedList *) list)->reference_count, 1);
   return list;
 }
 
 void
 mr_member_list_unref (MrMemberList *list)
 {
-  if (!list || atomic_fetch_sub (&((SharedList *) list)->references, 1) > 1)
+  if (!list || atomic_fetch_sub (&((SharedList *) list)->reference_count, 1) > 1)
     return;
   g_free (list->members);
   g_free (list);
--- a/src/membership.c
+++ b/src/membership.c
@@ -10,7 +10,7 @@
 static const guint SUSPECT_AFTER_MISSES = 2;
 /* Time for a suspect to refute the suspicion: several rounds of heartbeats. */
 static const MrTime SUSPICION_TIMEOUT = 4 * MR_SECOND;
-/* Dead members are kept in the updates for this long, then forgotten. */
+/* Dead members are kept in the updates for this long, then removed. */
 static const MrTime DEAD_RETENTION = 60 * MR_SECOND;
 /* Interval between queries for members that are not in the view, to heal partitions. */
 static const MrTime JOIN_INTERVAL = 10 * MR_SECOND;
--- a/src/membership.h
+++ b/src/membership.h
@@ -108,7 +108,7 @@
 const MrMember *mr_membership_find (const MrMembership *membership, const char *name);
 const MrMember *mr_membership_self (const MrMembership *membership);
 
-/* Returns TRUE once another member has been heard from. */
+/* Returns TRUE once a message from another member has been received. */
 gboolean mr_membership_joined (const MrMembership *membership);
 
 enum
--- a/src/membership_private.h
+++ b/src/membership_private.h
@@ -91,8 +91,9 @@
  * @next to the time when they will be. */
 gboolean mr_updates_urgent_due (const MrMembership *m, MrTime now, const Peer *peer, MrTime *next);
 
-/* Adds a sample of members, those in the failure domain of @asker first. */
-void mr_updates_fill_sample (const MrMembership *m, const MrMember *asker, MrHeartbeat *heartbeat);
+/* Adds a sample of members, those in the failure domain of @requester first. */
+void
+mr_updates_fill_sample (const MrMembership *m, const MrMember *requester, MrHeartbeat *heartbeat);
 
 /* Adds all members.  The caller frees @heartbeat's updates. */
 void mr_updates_fill_all (const MrMembership *m, MrHeartbeat *heartbeat);
--- a/src/membership_updates.c
+++ b/src/membership_updates.c
@@ -17,9 +17,9 @@
 enum
 {
   /* Members that a seed returns to a starting member.  All that start together query the same
-   * three seeds, so each answer must be small; the asker continues with one of the members
+   * three seeds, so each answer must be small; the requester continues with one of the members
    * named. */
-  SAMPLE_NEAR = 8, /* in the asker's failure domain */
+  SAMPLE_NEAR = 8, /* in the requester's failure domain */
   SAMPLE_STRONGEST = 16,
 };
 
@@ -175,10 +175,10 @@
   return now >= due;
 }
 
-/* Adds up to @limit members in the asker's failure domain, chosen at random so that askers
+/* Adds up to @limit members in the requester's failure domain, chosen at random so that requesters
  * spread over them. */
 static void
-S_add_near (const MrMembership *m, const MrMember *asker, guint limit, MrHeartbeat *heartbeat)
+S_add_near (const MrMembership *m, const MrMember *requester, guint limit, MrHeartbeat *heartbeat)
 {
   gint32 seen = 0;
   GHashTableIter iter;
@@ -187,8 +187,8 @@
   while (g_hash_table_iter_next (&iter, NULL, &item))
     {
       const Peer *peer = item;
-      if (!mr_peer_is_present (peer) || !g_str_equal (peer->member.domain, asker->domain) ||
-          g_str_equal (peer->member.name, asker->name))
+      if (!mr_peer_is_present (peer) || !g_str_equal (peer->member.domain, requester->domain) ||
+          g_str_equal (peer->member.name, requester->name))
         continue;
       guint position = (guint) g_rand_int_range (m->random, 0, ++seen);
       if (heartbeat->update_count < limit)
@@ -235,9 +235,9 @@
 }
 
 void
-mr_updates_fill_sample (const MrMembership *m, const MrMember *asker, MrHeartbeat *heartbeat)
+mr_updates_fill_sample (const MrMembership *m, const MrMember *requester, MrHeartbeat *heartbeat)
 {
-  S_add_near (m, asker, heartbeat->update_count + SAMPLE_NEAR, heartbeat);
+  S_add_near (m, requester, heartbeat->update_count + SAMPLE_NEAR, heartbeat);
   S_add_strongest (m, SAMPLE_STRONGEST, heartbeat);
 }
 
--- a/src/order_records.c
+++ b/src/order_records.c
@@ -156,8 +156,9 @@
   const char *incarnation = mr_ticket_issuer_incarnation (records->issuer);
   if (!g_str_equal (decision.ticket.incarnation, incarnation))
     {
-      /* Another incarnation may have dispatched it already.  Only that process knows, so the
-       * request is forwarded to it; if it is gone, nobody dispatches the ticket. */
+      /* Another incarnation may have dispatched it already.  Only that process has the
+       * record, so the request is forwarded to it; if it has ended, no daemon dispatches the
+       * ticket. */
       if (MR_SAFEGUARD (MR_GUARD_TICKET_OWNER))
         {
           decision.action = MR_ORDER_ACTION_FORWARD;
--- a/src/platform_task.c
+++ b/src/platform_task.c
@@ -4,7 +4,7 @@
 
 enum
 {
-  LANES = 16, /* concurrent calls, including watches */
+  CONNECTION_SLOTS = 16, /* concurrent calls, including watches */
 };
 
 /* Timeout of a call, in addition to the wait that the request itself asks for. */
@@ -15,60 +15,60 @@
   MrPlatformTask *task;
   MrPlatformRequest *request;
   MrHttpCall *call;
-  guint lane;
+  guint slot;
   MrTime deadline;
 } PendingCall;
 
 struct _MrPlatformTask
 {
-  MrLoopHandler host;
+  MrLoopHandler handler;
   MrLoop *loop;
   MrHttpClient *client;
   const MrPlatformCodec *codec;
   MrMailbox *results;
   char *ip;
   int port;
-  PendingCall *lanes[LANES];
+  PendingCall *calls[CONNECTION_SLOTS];
   GQueue waiting; /* MrPlatformRequest */
 };
 
 /* A write without an answer may still have been applied by the platform. */
 static MrStatus
-S_status_without_answer (const MrPlatformRequest *request, const MrHttpResponse *answer)
+S_status_without_answer (const MrPlatformRequest *request, const MrHttpResponse *response)
 {
-  if (answer && answer->outcome == MR_HTTP_CONNECT_FAILED)
+  if (response && response->outcome == MR_HTTP_CONNECT_FAILED)
     return MR_ERROR_UNAVAILABLE;
   return request->action == MR_PLATFORM_WRITE ? MR_ERROR_OUTCOME_UNKNOWN : MR_ERROR_UNAVAILABLE;
 }
 
 static void
-S_post (MrPlatformTask *task, MrPlatformRequest *request, const MrHttpResponse *answer)
+S_post (MrPlatformTask *task, MrPlatformRequest *request, const MrHttpResponse *response)
 {
   MrPlatformResult *result =
-      mr_platform_result_new (request, (int) S_status_without_answer (request, answer));
-  if (answer && answer->outcome == MR_HTTP_OK)
-    task->codec->decode (result, answer->status, answer->body);
+      mr_platform_result_new (request, (int) S_status_without_answer (request, response));
+  if (response && response->outcome == MR_HTTP_OK)
+    task->codec->decode (result, response->status, response->body);
   mr_mailbox_post (task->results, &result->base);
 }
 
 static void
-S_finish_call (PendingCall *pending, const MrHttpResponse *answer)
+S_finish_call (PendingCall *pending, const MrHttpResponse *response)
 {
   MrPlatformTask *task = pending->task;
-  task->lanes[pending->lane] = NULL;
-  S_post (task, pending->request, answer);
+  task->calls[pending->slot] = NULL;
+  S_post (task, pending->request, response);
   g_free (pending);
 }
 
 static gboolean
-S_on_answer (void *user, const MrHttpResponse *answer)
+S_on_response (void *user, const MrHttpResponse *response)
 {
-  S_finish_call (user, answer);
+  S_finish_call (user, response);
   return TRUE;
 }
 
 static void
-S_start_call (MrPlatformTask *task, MrPlatformRequest *request, guint lane)
+S_start_call (MrPlatformTask *task, MrPlatformRequest *request, guint slot)
 {
   MrPlatformCall call = { 0 };
   task->codec->encode (request, &call);
@@ -78,24 +78,24 @@
   *pending = (PendingCall){
     .task = task,
     .request = request,
-    .lane = lane,
+    .slot = slot,
     .deadline = mr_now () + CALL_TIMEOUT + request->wait_ms * MR_MS,
   };
   MrHttpCallInfo info = {
     .method = call.method,
     .ip = task->ip,
     .port = task->port,
-    .connection_slot = lane,
+    .connection_slot = slot,
     .path = path,
     .body = body ? mr_text_of (body) : (MrText){ 0 },
-    .on_response = S_on_answer,
+    .on_response = S_on_response,
     .user = pending,
   };
   gboolean maybe_sent = FALSE;
   pending->call = mr_http_client_call (task->client, &info, &maybe_sent);
   if (pending->call)
     {
-      task->lanes[lane] = pending;
+      task->calls[slot] = pending;
       return;
     }
   MrHttpResponse refused = { .outcome =
@@ -104,20 +104,20 @@
   S_post (task, request, &refused);
 }
 
-/* Runs in the tick rather than in a callback, where the lane that has just completed cannot
- * take another call yet. */
+/* Runs in the tick rather than in a callback, where the connection slot of the completed call is
+ * not free yet. */
 static void
 S_send_waiting (MrPlatformTask *task)
 {
-  for (guint lane = 0; lane < LANES && !g_queue_is_empty (&task->waiting); lane++)
-    if (!task->lanes[lane])
-      S_start_call (task, g_queue_pop_head (&task->waiting), lane);
+  for (guint slot = 0; slot < CONNECTION_SLOTS && !g_queue_is_empty (&task->waiting); slot++)
+    if (!task->calls[slot])
+      S_start_call (task, g_queue_pop_head (&task->waiting), slot);
 }
 
 static void
-S_on_message (MrLoopHandler *host, MrMessage *message)
+S_on_message (MrLoopHandler *handler, MrMessage *message)
 {
-  MrPlatformTask *task = (MrPlatformTask *) host;
+  MrPlatformTask *task = (MrPlatformTask *) handler;
   if (message->type != MR_MESSAGE_PLATFORM_REQUEST)
     {
       mr_message_free (message);
@@ -127,14 +127,14 @@
 }
 
 static MrTime
-S_on_tick (MrLoopHandler *host, MrTime now)
+S_on_tick (MrLoopHandler *handler, MrTime now)
 {
-  MrPlatformTask *task = (MrPlatformTask *) host;
+  MrPlatformTask *task = (MrPlatformTask *) handler;
   MrTime next = MR_NEVER;
   S_send_waiting (task);
-  for (guint lane = 0; lane < LANES; lane++)
+  for (guint slot = 0; slot < CONNECTION_SLOTS; slot++)
     {
-      PendingCall *pending = task->lanes[lane];
+      PendingCall *pending = task->calls[slot];
       if (!pending)
         continue;
       if (now >= pending->deadline)
@@ -152,14 +152,14 @@
 mr_platform_task_new (const char *ip, int port, const MrPlatformCodec *codec, MrMailbox *results)
 {
   MrPlatformTask *task = g_new0 (MrPlatformTask, 1);
-  task->host = (MrLoopHandler){ .on_message = S_on_message, .on_tick = S_on_tick };
-  task->loop = mr_loop_new (&task->host, LANES);
+  task->handler = (MrLoopHandler){ .on_message = S_on_message, .on_tick = S_on_tick };
+  task->loop = mr_loop_new (&task->handler, CONNECTION_SLOTS);
   if (!task->loop)
     {
       g_free (task);
       return NULL;
     }
-  task->client = mr_http_client_new (task->loop, LANES);
+  task->client = mr_http_client_new (task->loop, CONNECTION_SLOTS);
   task->results = results;
   task->codec = codec;
   task->ip = g_strdup (ip);
@@ -173,12 +173,12 @@
 {
   if (!task)
     return;
-  for (guint lane = 0; lane < LANES; lane++)
-    if (task->lanes[lane])
+  for (guint slot = 0; slot < CONNECTION_SLOTS; slot++)
+    if (task->calls[slot])
       {
-        mr_http_client_abort (task->lanes[lane]->call);
-        mr_message_free (&task->lanes[lane]->request->base);
-        g_free (task->lanes[lane]);
+        mr_http_client_abort (task->calls[slot]->call);
+        mr_message_free (&task->calls[slot]->request->base);
+        g_free (task->calls[slot]);
       }
   mr_loop_free (task->loop);
   mr_http_client_free (task->client);
--- a/src/prober.c
+++ b/src/prober.c
@@ -28,7 +28,7 @@
 
 typedef struct
 {
-  MrStreamHandler host;
+  MrStreamHandler handler;
   MrProber *prober;
   GList link;
   char *target;
@@ -112,7 +112,7 @@
 S_connect (Probe *probe, MrTime now)
 {
   MrProber *prober = probe->prober;
-  probe->stream = mr_stream_connect (prober->loop, &probe->host, probe->ip, probe->port);
+  probe->stream = mr_stream_connect (prober->loop, &probe->handler, probe->ip, probe->port);
   if (!probe->stream)
     {
       mr_log (MR_LOG_WARNING, MR_EVENT_CONNECT_FAILED, "cannot start a probe of target %s: %s",
@@ -126,9 +126,9 @@
 }
 
 static void
-S_opened (MrStreamHandler *host, MrStream *stream)
+S_opened (MrStreamHandler *handler, MrStream *stream)
 {
-  Probe *probe = (Probe *) host;
+  Probe *probe = (Probe *) handler;
   (void) stream;
   if (!probe->after_break)
     S_report (probe, TRUE);
@@ -138,11 +138,11 @@
 
 /* Unexpected data, but it shows that the process is alive. */
 static void
-S_received (MrStreamHandler *host, MrStream *stream, MrText bytes)
+S_received (MrStreamHandler *handler, MrStream *stream, MrText bytes)
 {
   (void) stream;
   (void) bytes;
-  S_report ((Probe *) host, TRUE);
+  S_report ((Probe *) handler, TRUE);
 }
 
 static void
@@ -155,9 +155,9 @@
 }
 
 static void
-S_ended (MrStreamHandler *host, MrStream *stream, MrStreamEnd end)
+S_ended (MrStreamHandler *handler, MrStream *stream, MrStreamEnd end)
 {
-  Probe *probe = (Probe *) host;
+  Probe *probe = (Probe *) handler;
   gboolean accepted = mr_stream_was_established (stream);
   (void) end;
   probe->stream = NULL;
@@ -172,7 +172,7 @@
 {
   Probe *probe = g_new (Probe, 1);
   *probe = (Probe){
-    .host = { .on_open = S_opened, .on_data = S_received, .on_end = S_ended },
+    .handler = { .on_open = S_opened, .on_data = S_received, .on_end = S_ended },
     .prober = prober,
     .target = g_strdup (target->id),
     .ip = g_strdup (target->ip),
--- a/src/quarantine.h
+++ b/src/quarantine.h
@@ -3,8 +3,8 @@
  *
  * A quarantine does not expire, since every way to find out whether it is still needed puts a
  * target at risk.  The exception is one trial by one daemon some time after it began (probation),
- * which frees a content that was blamed for unrelated crashes.  An operator can lift a quarantine
- * sooner (docs/OPERATIONS.md). */
+ * which releases a content that was quarantined because of unrelated crashes.  An operator can lift
+ * a quarantine sooner (docs/OPERATIONS.md). */
 #pragma once
 
 #include "evidence.h"
--- a/src/query.h
+++ b/src/query.h
@@ -16,7 +16,7 @@
 /* Vtable; first member of the structure that holds the queries. */
 struct _MrQueryHost
 {
-  /* Takes ownership of @batch.  @owner is borrowed; NULL stands for this daemon. */
+  /* Takes ownership of @batch.  @owner is borrowed; NULL means this daemon. */
   void (*send_batch) (MrQueryHost *host, MrQuery *query, const MrMember *owner, MrBatch *batch);
   /* Returns a batch id that is unique within the incarnation. */
   guint64 (*next_batch_id) (MrQueryHost *host);
--- a/src/relay_admit.c
+++ b/src/relay_admit.c
@@ -175,8 +175,8 @@
  * the square root of the ratio.  Otherwise requests with 80 ms left would all be refused because of
  * the queue of those with 200 ms before any of the latter is.  At three times the usual load, on
  * the virtual clock, the two kinds of requests reach 0.95 and 0.46 of their utility without this
- * factor, and 0.88 and 0.68 with it.  With the plain ratio, the less urgent kind came off worse
- * where a shard was over capacity (0.80 and 0.89). */
+ * factor, and 0.88 and 0.68 with it.  With the plain ratio, the less urgent kind got the lower
+ * utility where a shard was over capacity (0.80 and 0.89). */
 static double
 S_critical_shard_load (const MrActiveRequest *request, MrTime now)
 {
--- a/src/relay_finish.c
+++ b/src/relay_finish.c
@@ -91,7 +91,7 @@
 mr_relay_abandon_request (MrRelay *relay, MrTime now, MrActiveRequest *request)
 {
   /* Searchers cancel the work of a closed connection.  A request that is not idempotent runs to its
-   * end: its caller wants it done, even if it does not get the answer. */
+   * end: its caller relies on its effect, even if the caller does not get the answer. */
   MrTime until = request->route->idempotent ? now : request->hard_deadline;
   if (relay->policy->linger == MR_NEVER)
     until = MR_NEVER;
--- a/src/relay_pages.c
+++ b/src/relay_pages.c
@@ -29,17 +29,17 @@
 /* A host whose routes have home regions is served by daemons in these regions or in the
  * caller's. */
 static GPtrArray *
-S_entries_for (const MrRelayTask *task, const MrAddressRequest *question)
+S_entries_for (const MrRelayTask *task, const MrAddressRequest *request)
 {
   const MrView *view = task->view;
   if (!view || !task->entry_plan.entries)
     return g_ptr_array_new ();
   g_autoptr (GHashTable) regions =
-      view->configuration ? mr_configuration_home_regions (view->configuration, question->host)
+      view->configuration ? mr_configuration_home_regions (view->configuration, request->host)
                           : NULL;
   if (!regions)
     return g_ptr_array_ref (task->entry_plan.entries);
-  g_autofree char *region = mr_text_dup (question->region);
+  g_autofree char *region = mr_text_dup (request->region);
   g_hash_table_add (regions, region);
   return mr_entry_plan_for_regions (&task->entry_plan, task->roster, regions);
 }
@@ -51,14 +51,14 @@
                     MrTime began)
 {
   MrRelayTask *task = ((PageHost *) host)->task;
-  MrAddressRequest question = { 0 };
+  MrAddressRequest request = { 0 };
   (void) began;
-  if (!task->dialect->parse_address_request (mr_http_parser_target (in), &question))
+  if (!task->dialect->parse_address_request (mr_http_parser_target (in), &request))
     {
       mr_caller_answer (caller, STATUS_NOT_FOUND, (MrText){ 0 }, (MrText){ 0 });
       return;
     }
-  g_autoptr (GPtrArray) entries = S_entries_for (task, &question);
+  g_autoptr (GPtrArray) entries = S_entries_for (task, &request);
   g_autoptr (GPtrArray) addresses = g_ptr_array_new_with_free_func (g_free);
   for (guint i = 0; i < entries->len; i++)
     {
--- a/src/relay_request.c
+++ b/src/relay_request.c
@@ -8,8 +8,8 @@
 {
   STATUS_OK = 200,
   STATUS_NOT_FOUND = 404,
-  /* For a quarantined request.  503 and 429 invite the caller to retry, 4xx blames the caller, and
-   * 502 and 504 are for failed attempts. */
+  /* For a quarantined request.  503 and 429 invite the caller to retry, 4xx reports a fault of the
+   * caller, and 502 and 504 are for failed attempts. */
   STATUS_QUARANTINED = 500,
   STATUS_BAD_GATEWAY = 502,
   STATUS_UNAVAILABLE = 503,
@@ -117,7 +117,8 @@
   MrRelayTask *task = RELAY_TASK_OF (host, relay_host);
   const Request *request = call->host_request;
   MrTime now = mr_now ();
-  /* Rounded down: a target that is told too much time keeps working after the caller has gone. */
+  /* Rounded down: a target that gets too long a deadline keeps working after the caller has gone.
+   */
   gint64 ms_left = MAX ((call->deadline - now) / MR_MS, 1);
   GString *bytes = g_string_sized_new (request->head->len + request->body->len + 128);
   g_string_append_len (bytes, request->head->str, (gssize) request->head->len);
@@ -413,7 +414,7 @@
   MrQueuedRequest queued = {
     .caller = caller, .request = in, .first_byte_at = began, .received_at = now
   };
-  /* Without a configuration an unknown route can't be told from a known one. */
+  /* Without a configuration an unknown route cannot be distinguished from a known one. */
   if (mr_relay_task_ready (task))
     S_begin_request (task, caller, in, began, 0);
   else if (mr_startup_queue_push (task->early_requests, now, &queued))
--- a/src/relay_send.c
+++ b/src/relay_send.c
@@ -206,7 +206,7 @@
 }
 
 /* TRUE if a call sent now would probably be late.  Its slot goes to another part, and its caller is
- * told now and not at its deadline. */
+ * answered now rather than at the deadline. */
 static gboolean
 S_is_too_late (const RequestPart *part, MrTime now)
 {
--- a/src/relay_targets.c
+++ b/src/relay_targets.c
@@ -292,7 +292,7 @@
 mr_relay_record_outcome (
     MrRelay *relay, MrTime now, MrTargetState *target, MrCallOutcome outcome, MrTime started)
 {
-  /* These outcomes say nothing about the failure rate. */
+  /* Calls that end in one of these ways are no evidence for or against a failure. */
   if (outcome != MR_CALL_CANCELLED && outcome != MR_CALL_NO_SNAPSHOT &&
       outcome != MR_CALL_WITHDRAWN)
     mr_target_state_add_outcome (target, outcome != MR_CALL_ANSWER);
--- a/src/relay_task.c
+++ b/src/relay_task.c
@@ -186,9 +186,9 @@
 }
 
 static void
-S_on_message (MrLoopHandler *host, MrMessage *message)
+S_on_message (MrLoopHandler *handler, MrMessage *message)
 {
-  MrRelayTask *task = (MrRelayTask *) host;
+  MrRelayTask *task = (MrRelayTask *) handler;
   if (message->type == MR_MESSAGE_VIEW)
     S_on_view (task, ((MrViewMessage *) message)->view);
   else if (message->type == MR_MESSAGE_CHANGES)
@@ -201,9 +201,9 @@
 }
 
 static MrTime
-S_on_tick (MrLoopHandler *host, MrTime now)
+S_on_tick (MrLoopHandler *handler, MrTime now)
 {
-  MrRelayTask *task = (MrRelayTask *) host;
+  MrRelayTask *task = (MrRelayTask *) handler;
   MrTime next = mr_caller_server_tick (task->caller_server, now);
   next = MIN (next, mr_caller_server_tick (task->ready_server, now));
   next = MIN (next, mr_caller_server_tick (task->directory_server, now));
@@ -246,7 +246,7 @@
 {
   MrRelayTask *task = g_new0 (MrRelayTask, 1);
   const MrRelaySettings *settings = info->settings;
-  task->loop_host = (MrLoopHandler){ .on_message = S_on_message, .on_tick = S_on_tick };
+  task->loop_handler = (MrLoopHandler){ .on_message = S_on_message, .on_tick = S_on_tick };
   task->settings = settings;
   task->dialect = info->dialect;
   task->on_stopped = info->stopped;
@@ -258,7 +258,7 @@
   task->content_key = mr_settings_content_key_hash (&settings->base);
   mr_relay_request_init (task);
   mr_relay_pages_init (task);
-  task->loop = mr_loop_new (&task->loop_host, (guint) settings->max_descriptors);
+  task->loop = mr_loop_new (&task->loop_handler, (guint) settings->max_descriptors);
   if (task->loop && S_listen (task) == MR_OK)
     {
       MrRelayOptions relay = {
--- a/src/relay_task.h
+++ b/src/relay_task.h
@@ -10,8 +10,8 @@
 
 enum
 {
-  /* One in this many complete answers without hedges or retries is logged; all other results
-   * are. */
+  /* Of the complete answers without hedges or retries, one in this many is logged; all other
+   * results are logged. */
   MR_SUCCESS_LOG_INTERVAL = 50,
 };
 
--- a/src/relay_task_private.h
+++ b/src/relay_task_private.h
@@ -23,7 +23,7 @@
 
 struct _MrRelayTask
 {
-  MrLoopHandler loop_host;
+  MrLoopHandler loop_handler;
   MrRelayHost relay_host;
   MrTargetClientHost client_host;
   MrCallerServerHost caller_host;
--- a/src/replication.c
+++ b/src/replication.c
@@ -42,7 +42,7 @@
 {
   MrObjectKind kind;
   char *name;
-  char *learned_from; /* peer that sent it, not announced back to it; "": the platform */
+  char *received_from; /* peer that sent it, not announced back to it; "": the platform */
 } PendingAnnouncement;
 
 /* A member whose digest differs from the local one. */
@@ -57,7 +57,7 @@
   MrReplicationHost *host;
   MrRegistry *registry;
   char *self;
-  GHashTable *fetch_times;    /* "<kind>/<name>/<version>" -> MrTime* of the last GET */
+  GHashTable *fetch_times;    /* "<kind>/<name>/<version>" -> MrTime* of the last request for it */
   GHashTable *missing_bodies; /* "<kind>/<name>" in a peer's list whose body has not arrived */
   GHashTable *request_times;  /* member -> MrTime* of the last comparison or list request */
   GHashTable *differences;    /* member -> DigestDifference */
@@ -78,7 +78,7 @@
 {
   PendingAnnouncement *pending = data;
   g_free (pending->name);
-  g_free (pending->learned_from);
+  g_free (pending->received_from);
   g_free (pending);
 }
 
@@ -121,11 +121,11 @@
 }
 
 static MrObjectSummary
-S_news (const MrObject *object)
+S_summary (const MrObject *object)
 {
-  MrObjectSummary news = { .kind = object->kind, .version = object->version };
-  g_strlcpy (news.name, object->name, sizeof news.name);
-  return news;
+  MrObjectSummary summary = { .kind = object->kind, .version = object->version };
+  g_strlcpy (summary.name, object->name, sizeof summary.name);
+  return summary;
 }
 
 static void
@@ -161,10 +161,10 @@
       const PendingAnnouncement *pending = item;
       const MrObject *object =
           mr_registry_get (replication->registry, pending->kind, pending->name);
-      if (!object || g_str_equal (pending->learned_from, neighbour))
+      if (!object || g_str_equal (pending->received_from, neighbour))
         continue;
-      MrObjectSummary news = S_news (object);
-      g_array_append_val (list, news);
+      MrObjectSummary summary = S_summary (object);
+      g_array_append_val (list, summary);
     }
   if (list->len > 0)
     replication->host->send (replication->host, neighbour,
@@ -231,7 +231,7 @@
   *pending = (PendingAnnouncement){
     .kind = kind,
     .name = mr_text_dup (name),
-    .learned_from = g_strdup (from ? from : ""),
+    .received_from = g_strdup (from ? from : ""),
   };
   g_hash_table_replace (replication->pending, S_key (kind, name), pending);
   replication->object_stored = TRUE;
@@ -246,16 +246,16 @@
 typedef struct
 {
   MrHashRange range;
-  GArray *news; /* MrNews */
+  GArray *summaries; /* MrObjectSummary */
 } RangeListing;
 
 static void
-S_add_news (const MrObject *object, void *user)
+S_add_summary (const MrObject *object, void *user)
 {
   RangeListing *listing = user;
-  MrObjectSummary news = S_news (object);
+  MrObjectSummary summary = S_summary (object);
   if (mr_hash_range_contains (listing->range, object->key_hash))
-    g_array_append_val (listing->news, news);
+    g_array_append_val (listing->summaries, summary);
 }
 
 /* Sends the names and versions of all objects in @range. */
@@ -263,18 +263,18 @@
 S_send_list (MrReplication *replication, const char *to, MrHashRange range)
 {
   RangeListing listing = { .range = range,
-                           .news = g_array_new (FALSE, FALSE, sizeof (MrObjectSummary)) };
-  mr_registry_foreach (replication->registry, S_add_news, &listing);
+                           .summaries = g_array_new (FALSE, FALSE, sizeof (MrObjectSummary)) };
+  mr_registry_foreach (replication->registry, S_add_summary, &listing);
   replication->host->send (
       replication->host, to,
       mr_wire_range_summaries (replication->self, range,
-                               (const MrObjectSummary *) (void *) listing.news->data,
-                               listing.news->len));
-  g_array_unref (listing.news);
+                               (const MrObjectSummary *) (void *) listing.summaries->data,
+                               listing.summaries->len));
+  g_array_unref (listing.summaries);
 }
 
 static void
-S_send_ranges (MrReplication *replication, const char *to, MrHashRange range)
+S_send_range_digests (MrReplication *replication, const char *to, MrHashRange range)
 {
   guint64 digests[MR_HASH_RANGE_PARTS];
   guint counts[MR_HASH_RANGE_PARTS];
@@ -284,7 +284,7 @@
 }
 
 static void
-S_on_ranges (MrReplication *replication, const MrWireMessage *message)
+S_on_range_digests (MrReplication *replication, const MrWireMessage *message)
 {
   guint64 digests[MR_HASH_RANGE_PARTS];
   guint counts[MR_HASH_RANGE_PARTS];
@@ -305,7 +305,7 @@
       if (counts[i] <= LISTED_OBJECTS_MAX)
         S_send_list (replication, message->sender, part);
       else
-        S_send_ranges (replication, message->sender, part);
+        S_send_range_digests (replication, message->sender, part);
     }
 }
 
@@ -324,23 +324,25 @@
     g_hash_table_remove_all (replication->fetch_times);
   for (guint i = 0; i < message->summary_count; i++)
     {
-      const MrObjectSummary *news = &message->summaries[i];
-      if (news->version <= mr_registry_version (replication->registry, news->kind, news->name))
+      const MrObjectSummary *summary = &message->summaries[i];
+      if (summary->version <=
+          mr_registry_version (replication->registry, summary->kind, summary->name))
         continue;
       /* Stored at once, since a round trip for a body would leave time in which calls go to
        * targets that must not get them. */
-      if (mr_object_is_bodiless (news->kind))
+      if (mr_object_is_bodiless (summary->kind))
         {
-          mr_replication_offer (replication, news->kind, mr_text (news->name), news->version,
-                                (MrText){ 0 }, message->sender);
+          mr_replication_offer (replication, summary->kind, mr_text (summary->name),
+                                summary->version, (MrText){ 0 }, message->sender);
           continue;
         }
       if (complete && !replication->synced)
-        g_hash_table_add (replication->missing_bodies, S_key (news->kind, mr_text (news->name)));
-      g_autofree char *key =
-          g_strdup_printf ("%d/%s/%" G_GUINT64_FORMAT, (int) news->kind, news->name, news->version);
+        g_hash_table_add (replication->missing_bodies,
+                          S_key (summary->kind, mr_text (summary->name)));
+      g_autofree char *key = g_strdup_printf ("%d/%s/%" G_GUINT64_FORMAT, (int) summary->kind,
+                                              summary->name, summary->version);
       if (S_is_allowed_after (replication->fetch_times, key, now, FETCH_GAP))
-        g_array_append_val (wanted, *news);
+        g_array_append_val (wanted, *summary);
     }
   if (wanted->len > 0)
     replication->host->send (replication->host, message->sender,
@@ -352,8 +354,8 @@
 typedef struct
 {
   const MrWireMessage *list;
-  GHashTable *versions; /* "<kind>/<name>" -> MrNews of the list */
-  GArray *news;         /* MrNews: objects that the list's sender lacks */
+  GHashTable *versions; /* "<kind>/<name>" -> MrObjectSummary of the list */
+  GArray *summaries;    /* MrObjectSummary: objects that the list's sender lacks */
 } MissingAtPeer;
 
 static void
@@ -364,9 +366,9 @@
     return;
   g_autofree char *key = S_key (object->kind, mr_text (object->name));
   const MrObjectSummary *theirs = g_hash_table_lookup (missing->versions, key);
-  MrObjectSummary news = S_news (object);
+  MrObjectSummary summary = S_summary (object);
   if (!theirs || theirs->version < object->version)
-    g_array_append_val (missing->news, news);
+    g_array_append_val (missing->summaries, summary);
 }
 
 /* Announces to the sender of a list the objects that it lacks or holds in an older version. */
@@ -376,20 +378,21 @@
   MissingAtPeer missing = {
     .list = message,
     .versions = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL),
-    .news = g_array_new (FALSE, FALSE, sizeof (MrObjectSummary)),
+    .summaries = g_array_new (FALSE, FALSE, sizeof (MrObjectSummary)),
   };
   for (guint i = 0; i < message->summary_count; i++)
     g_hash_table_replace (missing.versions,
                           S_key (message->summaries[i].kind, mr_text (message->summaries[i].name)),
                           &message->summaries[i]);
   mr_registry_foreach (replication->registry, S_add_missing_at_peer, &missing);
-  if (missing.news->len > 0)
+  if (missing.summaries->len > 0)
     replication->host->send (
         replication->host, message->sender,
-        mr_wire_announce (replication->self, (const MrObjectSummary *) (void *) missing.news->data,
-                          missing.news->len));
+        mr_wire_announce (replication->self,
+                          (const MrObjectSummary *) (void *) missing.summaries->data,
+                          missing.summaries->len));
   g_hash_table_unref (missing.versions);
-  g_array_unref (missing.news);
+  g_array_unref (missing.summaries);
 }
 
 static gboolean
@@ -404,7 +407,7 @@
 }
 
 static void
-S_on_list (MrReplication *replication, MrTime now, const MrWireMessage *message)
+S_on_range_summaries (MrReplication *replication, MrTime now, const MrWireMessage *message)
 {
   /* An empty list of the whole range is the request of a daemon that has just started. */
   if (message->range.bits == 0 && message->summary_count == 0)
@@ -425,8 +428,9 @@
   gsize bytes = 0;
   for (guint i = 0; i < message->summary_count; i++)
     {
-      const MrObjectSummary *news = &message->summaries[i];
-      const MrObject *object = mr_registry_get (replication->registry, news->kind, news->name);
+      const MrObjectSummary *summary = &message->summaries[i];
+      const MrObject *object =
+          mr_registry_get (replication->registry, summary->kind, summary->name);
       if (object)
         g_ptr_array_add (found, (gpointer) object);
       bytes += object ? object->body->len : 0;
@@ -446,8 +450,8 @@
   replication->last_fetch = now;
   for (guint i = 0; i < message->object_count; i++)
     {
-      const MrObjectSummary *news = &message->objects[i].summary;
-      mr_replication_offer (replication, news->kind, mr_text (news->name), news->version,
+      const MrObjectSummary *summary = &message->objects[i].summary;
+      mr_replication_offer (replication, summary->kind, mr_text (summary->name), summary->version,
                             message->objects[i].body, message->sender);
     }
 }
@@ -458,9 +462,9 @@
   if (message->type == MR_WIRE_ANNOUNCE)
     S_fetch_newer (replication, now, message);
   else if (message->type == MR_WIRE_RANGE_SUMMARIES)
-    S_on_list (replication, now, message);
+    S_on_range_summaries (replication, now, message);
   else if (message->type == MR_WIRE_RANGE_DIGESTS)
-    S_on_ranges (replication, message);
+    S_on_range_digests (replication, message);
   else if (message->type == MR_WIRE_GET)
     S_on_get (replication, message);
   else if (message->type == MR_WIRE_OBJECTS)
@@ -517,7 +521,7 @@
   if (mr_registry_count (replication->registry) == 0)
     mr_replication_request_list (replication, now, from);
   else if (S_is_compare_due (replication, now, from, digest))
-    S_send_ranges (replication, from, FULL_RANGE);
+    S_send_range_digests (replication, from, FULL_RANGE);
 }
 
 void
--- a/src/replication.h
+++ b/src/replication.h
@@ -36,7 +36,8 @@
                                     MrText body,
                                     const char *from);
 
-/* Handles a NEWS, GET, OBJECTS, LIST or RANGES message from a peer. */
+/* Handles a message of type MR_WIRE_ANNOUNCE, MR_WIRE_GET, MR_WIRE_OBJECTS,
+ * MR_WIRE_RANGE_SUMMARIES or MR_WIRE_RANGE_DIGESTS from a peer. */
 void mr_replication_receive (MrReplication *replication, MrTime now, const MrWireMessage *message);
 
 /* Requests the list of all objects that @name holds, unless this daemon is already
@@ -53,7 +54,8 @@
 MrTime mr_replication_tick (MrReplication *replication, MrTime now);
 
 /* Marks the registry as complete: everything was read from the platform or from a peer. Until
- * then this daemon sends nobody its full list, since the receiver would take that as complete. */
+ * then this daemon sends its full list to no peer, since the receiver would treat it as complete.
+ */
 void mr_replication_set_complete (MrReplication *replication);
 
 /* TRUE while the objects of a peer's list are being received. */
--- a/src/soft_deadline.c
+++ b/src/soft_deadline.c
@@ -1,6 +1,6 @@
 #include "soft_deadline.h"
 
-/* One to connect, one for the request and its response. */
+/* Round trips of a call: one to connect, one for the request and its response. */
 static const int ROUND_TRIPS = 2;
 static const MrTime ROUND_TRIP_DEFAULT = 6 * MR_MS;
 /* Estimate before the first measurement, and limits of later estimates. */
--- a/src/target_task.c
+++ b/src/target_task.c
@@ -356,10 +356,10 @@
 }
 
 static void
-S_send_evidence (MrDispatchHost *host, MrFingerprint content, const MrEvidence *evidence)
+S_send_evidence (MrDispatchHost *host, MrFingerprint fingerprint, const MrEvidence *evidence)
 {
   mr_mailbox_post (TASK_OF_DISPATCH_HOST (host)->control,
-                   &mr_evidence_message_new (content, evidence)->base);
+                   &mr_evidence_message_new (fingerprint, evidence)->base);
 }
 
 static gint64 *
--- a/src/ticket.h
+++ b/src/ticket.h
@@ -2,7 +2,7 @@
  *
  * "<daemon>.<incarnation>.<sequence>.<issued ms>.<code>".  The incarnation is a random number
  * of 128 bits that is made at start and kept in memory only.  The code is a keyed hash, so that
- * nobody can forge a ticket or use the number of another one.  Issuing a ticket needs no record
+ * no client can forge a ticket or use the number of another one.  Issuing a ticket needs no record
  * and no store. */
 #pragma once
 
--- a/src/view.c
+++ b/src/view.c
@@ -5,7 +5,7 @@
 typedef struct
 {
   MrView view; /* first, so that an MrView can be cast to it */
-  atomic_int references;
+  atomic_int reference_count;
 } SharedView;
 
 static void
@@ -20,7 +20,7 @@
 mr_view_new (MrMemberList *members)
 {
   SharedView *shared = g_new0 (SharedView, 1);
-  atomic_init (&shared->references, 1);
+  atomic_init (&shared->reference_count, 1);
   shared->view.members = members;
   shared->view.services = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, S_service_free);
   shared->view.leaving_targets = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
@@ -31,14 +31,14 @@
 MrView *
 mr_view_ref (MrView *view)
 {
-  atomic_fetch_add (&((SharedView *) view)->references, 1);
+  atomic_fetch_add (&((SharedView *) view)->reference_count, 1);
   return view;
 }
 
 void
 mr_view_unref (MrView *view)
 {
-  if (!view || atomic_fetch_sub (&((SharedView *) view)->references, 1) > 1)
+  if (!view || atomic_fetch_sub (&((SharedView *) view)->reference_count, 1) > 1)
     return;
   mr_member_list_unref (view->members);
   g_hash_table_unref (view->services);
