--- a/src/control_task.c
+++ b/src/control_task.c
@@ -15,9 +15,9 @@
 };
 
 static const MrTime IDLE_WAIT = 500 * MR_MS;
-static const MrTime LINK_PRUNE_GAP = 10 * MR_SECOND;
+static const MrTime LINK_PRUNE_INTERVAL = 10 * MR_SECOND;
 /* Interval of the traffic log lines, each of about 300 bytes. */
-static const MrTime TRAFFIC_LOG_GAP = 5 * MR_SECOND;
+static const MrTime TRAFFIC_LOG_INTERVAL = 5 * MR_SECOND;
 /* How long a daemon that has read the platform and has met peers waits for one of them to
  * confirm what it read. */
 static const MrTime CONFIRM_WAIT = 3 * MR_SECOND;
@@ -293,13 +293,13 @@
   mr_control_view_publish (task);
   if (now >= task->next_link_prune)
     {
-      task->next_link_prune = now + LINK_PRUNE_GAP;
+      task->next_link_prune = now + LINK_PRUNE_INTERVAL;
       mr_membership_foreach (task->membership, S_close_dead_link, task->link);
       mr_peer_link_close_idle (task->link, now);
     }
   if (now >= task->next_traffic_log)
     {
-      task->next_traffic_log = now + TRAFFIC_LOG_GAP;
+      task->next_traffic_log = now + TRAFFIC_LOG_INTERVAL;
       mr_traffic_log (mr_metrics_get (MR_METRIC_PLATFORM_CALLS));
     }
   return next;
--- a/src/ctl_loss.c
+++ b/src/ctl_loss.c
@@ -4,7 +4,7 @@
 {
   SECONDS_SHOWN = 12,
   CAUSE_BYTES = 80,
-  NOT_FOUND = 404,
+  STATUS_NOT_FOUND = 404,
 };
 
 /* Value of an answer after the latency goal: a rule of thumb, as callers value it at a tenth to a
@@ -55,7 +55,7 @@
 ctl_line_loss (const json_t *line, CtlLineLoss *loss)
 {
   json_int_t status = ctl_json_integer (line, "status");
-  if (status == 0 || status == NOT_FOUND)
+  if (status == 0 || status == STATUS_NOT_FOUND)
     return FALSE;
   json_int_t latency_goal = ctl_json_integer (line, "aim_us");
   gboolean served = status < 300;
--- a/src/ctl_quarantine.c
+++ b/src/ctl_quarantine.c
@@ -42,7 +42,7 @@
   enum
   {
     OK = 200,
-    NOT_FOUND = 404,
+    STATUS_NOT_FOUND = 404,
   };
   int status = 0;
   if (options->argc != 1)
@@ -53,7 +53,7 @@
   if (ctl_send_request (options, options->entry, "DELETE", item_path, (MrText){ 0 }, &status,
                         answer) != MR_OK)
     return ctl_fail (CTL_FAILED, "%s: %s", options->entry, mr_status_message ());
-  if (status == NOT_FOUND)
+  if (status == STATUS_NOT_FOUND)
     return ctl_fail (CTL_FAILED, "%s: not quarantined, and no crashes are known", options->argv[0]);
   if (status != OK)
     return ctl_fail (CTL_USAGE, "'%s' is not a fingerprint", options->argv[0]);
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -30,7 +30,7 @@
 }
 
 static MrStatus
-S_make_tasks (Daemon *d)
+S_create_tasks (Daemon *d)
 {
   const MrSettings *settings = d->settings;
   MrControlTaskInfo control = {
@@ -99,7 +99,7 @@
   mr_log_set_level ((MrLogLevel) settings->log_level);
   MrStatus status = mr_process_init (&d.process);
   if (status == MR_OK)
-    status = S_make_tasks (&d);
+    status = S_create_tasks (&d);
   if (status == MR_OK)
     {
       S_connect (&d);
--- a/src/http_server.c
+++ b/src/http_server.c
@@ -213,7 +213,7 @@
 }
 
 static int
-S_on_writeable (MrHttpServer *server, struct lws *wsi, Session *s)
+S_on_writable (MrHttpServer *server, struct lws *wsi, Session *s)
 {
   if (s->dropped)
     return -1;
@@ -287,7 +287,7 @@
         S_deliver_request (server, wsi, s);
       return 0;
     case LWS_CALLBACK_HTTP_WRITEABLE:
-      return s ? S_on_writeable (server, wsi, s) : 0;
+      return s ? S_on_writable (server, wsi, s) : 0;
     case LWS_CALLBACK_CLOSED_HTTP:
       if (s)
         S_on_closed (server, s);
--- a/src/membership_updates.c
+++ b/src/membership_updates.c
@@ -105,7 +105,7 @@
 /* Returns the number above which updates are to be sent to @peer: all below have been
  * acknowledged or are in transit. */
 static guint64
-S_sent_upto (MrTime now, const Peer *peer)
+S_send_after_seq (MrTime now, const Peer *peer)
 {
   gboolean in_transit = peer->has_acked && now - peer->sent_at < IN_TRANSIT_TIME;
   return in_transit ? MAX (peer->sent_seq, peer->acked_seq) : peer->acked_seq;
@@ -134,7 +134,7 @@
   guint count = 0;
   gboolean more = FALSE;
   gboolean has_receiver = heartbeat->update_count > 0;
-  guint64 after_seq = S_sent_upto (now, peer);
+  guint64 after_seq = S_send_after_seq (now, peer);
   GHashTableIter iter;
   gpointer item = NULL;
   g_hash_table_iter_init (&iter, m->peers);
@@ -168,7 +168,7 @@
 gboolean
 mr_updates_urgent_due (const MrMembership *m, MrTime now, const Peer *peer, MrTime *next)
 {
-  if (!peer->link_established || S_sent_upto (now, peer) >= m->last_urgent_seq)
+  if (!peer->link_established || S_send_after_seq (now, peer) >= m->last_urgent_seq)
     return FALSE;
   MrTime due = peer->sent_at + URGENT_INTERVAL;
   *next = MIN (*next, MAX (due, now));
--- a/src/prober.c
+++ b/src/prober.c
@@ -126,7 +126,7 @@
 }
 
 static void
-S_opened (MrStreamHandler *handler, MrStream *stream)
+S_on_open (MrStreamHandler *handler, MrStream *stream)
 {
   Probe *probe = (Probe *) handler;
   (void) stream;
@@ -138,7 +138,7 @@
 
 /* Unexpected data, but it shows that the process is alive. */
 static void
-S_received (MrStreamHandler *handler, MrStream *stream, MrText bytes)
+S_on_data (MrStreamHandler *handler, MrStream *stream, MrText bytes)
 {
   (void) stream;
   (void) bytes;
@@ -155,7 +155,7 @@
 }
 
 static void
-S_ended (MrStreamHandler *handler, MrStream *stream, MrStreamEnd end)
+S_on_end (MrStreamHandler *handler, MrStream *stream, MrStreamEnd end)
 {
   Probe *probe = (Probe *) handler;
   gboolean accepted = mr_stream_was_established (stream);
@@ -172,7 +172,7 @@
 {
   Probe *probe = g_new (Probe, 1);
   *probe = (Probe){
-    .handler = { .on_open = S_opened, .on_data = S_received, .on_end = S_ended },
+    .handler = { .on_open = S_on_open, .on_data = S_on_data, .on_end = S_on_end },
     .prober = prober,
     .target = g_strdup (target->id),
     .ip = g_strdup (target->ip),
--- a/src/relay_log.c
+++ b/src/relay_log.c
@@ -39,7 +39,7 @@
 }
 
 static gboolean
-S_is_plain (const MrRelayResult *result)
+S_is_routine (const MrRelayResult *result)
 {
   return result->verdict <= MR_VERDICT_MERGE && result->missing_parts == 0 &&
          result->sends->len == result->part_count;
@@ -53,7 +53,7 @@
     [MR_VERDICT_REFUSED] = MR_EVENT_REQUEST_REFUSED, [MR_VERDICT_FAILED] = MR_EVENT_REQUEST_FAILED,
     [MR_VERDICT_TIMEOUT] = MR_EVENT_REQUEST_TIMEOUT,
   };
-  if (S_is_plain (result) && task->success_count++ % MR_SUCCESS_LOG_INTERVAL != 0)
+  if (S_is_routine (result) && task->success_count++ % MR_SUCCESS_LOG_INTERVAL != 0)
     return;
   gboolean served = result->verdict <= MR_VERDICT_MERGE;
   MrEvent event =
--- a/src/relay_pages.c
+++ b/src/relay_pages.c
@@ -237,7 +237,7 @@
 }
 
 static void
-S_on_gone (MrCallerServerHost *host, MrCaller *caller)
+S_on_disconnected (MrCallerServerHost *host, MrCaller *caller)
 {
   (void) host;
   (void) caller; /* every request is answered at once, so there is no state to free */
@@ -246,7 +246,7 @@
 void
 mr_relay_pages_init (MrRelayTask *task)
 {
-  task->ready_pages = (PageHost){ { S_on_ready, S_on_gone }, task };
-  task->directory_pages = (PageHost){ { S_on_address_query, S_on_gone }, task };
-  task->metrics_pages = (PageHost){ { S_on_metrics, S_on_gone }, task };
+  task->ready_pages = (PageHost){ { S_on_ready, S_on_disconnected }, task };
+  task->directory_pages = (PageHost){ { S_on_address_query, S_on_disconnected }, task };
+  task->metrics_pages = (PageHost){ { S_on_metrics, S_on_disconnected }, task };
 }
--- a/src/relay_request.c
+++ b/src/relay_request.c
@@ -448,7 +448,7 @@
 }
 
 static void
-S_on_caller_gone (MrCallerServerHost *host, MrCaller *caller)
+S_on_disconnected (MrCallerServerHost *host, MrCaller *caller)
 {
   MrRelayTask *task = RELAY_TASK_OF (host, caller_host);
   Request *request = mr_caller_user (caller);
@@ -468,7 +468,7 @@
 mr_relay_request_init (MrRelayTask *task)
 {
   task->caller_host =
-      (MrCallerServerHost){ .request = S_on_request, .disconnected = S_on_caller_gone };
+      (MrCallerServerHost){ .request = S_on_request, .disconnected = S_on_disconnected };
   task->client_host = (MrTargetClientHost){ .call_ended = S_on_call_ended, .probed = S_on_probed };
   task->relay_host = (MrRelayHost){
     .send_call = S_on_send_call,
--- a/src/relay_trial.c
+++ b/src/relay_trial.c
@@ -19,7 +19,7 @@
 }
 
 static void
-S_unhold (RequestPart *part)
+S_release_part (RequestPart *part)
 {
   part->held = FALSE;
   part->request->held_parts--;
@@ -84,7 +84,7 @@
         }
     }
   g_assert (best);
-  S_unhold (best);
+  S_release_part (best);
   return best;
 }
 
@@ -226,7 +226,7 @@
       RequestPart *part = &request->parts[i];
       if (!part->held)
         continue;
-      S_unhold (part);
+      S_release_part (part);
       if (part->send_count > 0)
         mr_relay_send_or_queue (r, now, part, MR_SEND_RETRY);
       else
--- a/src/replication.c
+++ b/src/replication.c
@@ -4,18 +4,18 @@
 #include "membership.h"
 
 /* Minimum time between two fetches of the same version of an object. */
-static const MrTime FETCH_GAP = 500 * MR_MS;
+static const MrTime FETCH_INTERVAL = 500 * MR_MS;
 /* Minimum time between two comparisons with the same peer, and how long the digests must have
  * differed before. A difference is mostly an announcement still on its way, and a comparison
  * that finds nothing costs more than the announcement. */
-static const MrTime COMPARE_GAP = 1 * MR_SECOND;
+static const MrTime COMPARE_INTERVAL = 1 * MR_SECOND;
 /* The same while the two registries are changing: objects are still arriving here, or the
  * peer's digest changes. In a large fleet whose targets are listed over seconds no two digests
  * are ever equal, and each comparison would find that all ranges differ and end in full lists. */
-static const MrTime COMPARE_GAP_CHANGING = 4 * MR_SECOND;
+static const MrTime COMPARE_INTERVAL_CHANGING = 4 * MR_SECOND;
 static const MrTime SETTLE_TIME = 1 * MR_SECOND;
 /* Minimum time between two requests of a starting daemon to the same peer for its full list. */
-static const MrTime LIST_REQUEST_GAP = 100 * MR_MS;
+static const MrTime LIST_REQUEST_INTERVAL = 100 * MR_MS;
 /* Time over which announcements are batched. Changes come in bursts (282 targets that start
  * together), and one message per change and link made up a tenth of all control traffic. */
 static const MrTime ANNOUNCE_DELAY = 3 * MR_MS;
@@ -29,7 +29,7 @@
   /* If more subranges than this differ, the whole range is sent as a list. */
   DIFFERING_PARTS_MAX = 8,
   BODY_BYTES_MAX = 64 * 1024, /* bodies per message; a link transfers them in 30 ms */
-  /* Full lists sent per LIST_REQUEST_GAP. Daemons that start together would all ask the first
+  /* Full lists sent per LIST_REQUEST_INTERVAL. Daemons that start together would all ask the first
    * peer that holds objects and keep its link busy for seconds; the rest ask one of those that
    * have already been served. */
   FULL_LISTS_MAX = 4,
@@ -136,12 +136,12 @@
   g_hash_table_replace (times, g_strdup (key), recorded);
 }
 
-/* Returns TRUE, and records @now, if @key has not been recorded within the last @gap. */
+/* Returns TRUE, and records @now, if @key has not been recorded within the last @interval. */
 static gboolean
-S_is_allowed_after (GHashTable *times, const char *key, MrTime now, MrTime gap)
+S_is_allowed_after (GHashTable *times, const char *key, MrTime now, MrTime interval)
 {
   MrTime *last = g_hash_table_lookup (times, key);
-  if (last && now - *last < gap)
+  if (last && now - *last < interval)
     return FALSE;
   S_record_time (times, key, now);
   return TRUE;
@@ -341,7 +341,7 @@
                           S_key (summary->kind, mr_text (summary->name)));
       g_autofree char *key = g_strdup_printf ("%d/%s/%" G_GUINT64_FORMAT, (int) summary->kind,
                                               summary->name, summary->version);
-      if (S_is_allowed_after (replication->fetch_times, key, now, FETCH_GAP))
+      if (S_is_allowed_after (replication->fetch_times, key, now, FETCH_INTERVAL))
         g_array_append_val (wanted, *summary);
     }
   if (wanted->len > 0)
@@ -398,7 +398,7 @@
 static gboolean
 S_may_send_full_list (MrReplication *replication, MrTime now)
 {
-  if (now - replication->list_interval_start >= LIST_REQUEST_GAP)
+  if (now - replication->list_interval_start >= LIST_REQUEST_INTERVAL)
     {
       replication->list_interval_start = now;
       replication->full_lists_sent = 0;
@@ -493,13 +493,13 @@
       g_hash_table_insert (replication->differences, g_strdup (from), difference);
     }
   /* A daemon that has just started does not wait, because it needs the result of the comparison. */
-  MrTime wait = replication->synced ? COMPARE_GAP : 0;
+  MrTime wait = replication->synced ? COMPARE_INTERVAL : 0;
   if (S_is_changing (replication, now, difference, digest))
-    wait = COMPARE_GAP_CHANGING;
+    wait = COMPARE_INTERVAL_CHANGING;
   if (now - difference->since < wait ||
-      !S_is_allowed_after (replication->request_times, from, now, COMPARE_GAP))
+      !S_is_allowed_after (replication->request_times, from, now, COMPARE_INTERVAL))
     return FALSE;
-  if (wait == COMPARE_GAP_CHANGING)
+  if (wait == COMPARE_INTERVAL_CHANGING)
     difference->since = now;
   return TRUE;
 }
@@ -528,7 +528,7 @@
 mr_replication_request_list (MrReplication *replication, MrTime now, const char *name)
 {
   if (replication->synced || mr_replication_is_fetching (replication, now) ||
-      !S_is_allowed_after (replication->request_times, name, now, LIST_REQUEST_GAP))
+      !S_is_allowed_after (replication->request_times, name, now, LIST_REQUEST_INTERVAL))
     return;
   g_hash_table_add (replication->list_sources, g_strdup (name));
   replication->host->send (replication->host, name,
@@ -545,7 +545,7 @@
 mr_replication_is_fetching (const MrReplication *replication, MrTime now)
 {
   return g_hash_table_size (replication->missing_bodies) > 0 &&
-         now - replication->last_fetch < FETCH_GAP;
+         now - replication->last_fetch < FETCH_INTERVAL;
 }
 
 gboolean
