--- a/src/caller_server.c
+++ b/src/caller_server.c
@@ -131,7 +131,7 @@
   g_string_free (out, TRUE);
 }
 
-/* Responds to a request that can't be parsed.  Its connection is closed afterwards, as it is
+/* Responds to a request that cannot be parsed.  Its connection is closed afterwards, as it is
  * unknown where the next request would begin. */
 static void
 S_reject (MrCaller *c, int status)
--- a/src/control_start.c
+++ b/src/control_start.c
@@ -68,7 +68,7 @@
 }
 
 static void
-S_continue_without (MrControlTask *task)
+S_continue_without_restrictions (MrControlTask *task)
 {
   if (task->deferral_over)
     return;
@@ -120,7 +120,7 @@
     task->defer_until = now + DEFERRAL_MAX;
   if (!others_read || now < task->defer_until)
     return FALSE;
-  S_continue_without (task);
+  S_continue_without_restrictions (task);
   return TRUE;
 }
 
@@ -165,7 +165,7 @@
       return;
     }
   if (S_is_deferring (task))
-    S_continue_without (task);
+    S_continue_without_restrictions (task);
   task->deferral_over = TRUE;
   for (guint i = 0; i < task->deferred_offers->len; i++)
     {
--- a/src/ctl_explain.c
+++ b/src/ctl_explain.c
@@ -66,7 +66,7 @@
 }
 
 static const char *
-S_meaning (const char *cause)
+S_cause_description (const char *cause)
 {
   for (gsize i = 0; i < G_N_ELEMENTS (meanings); i++)
     if (g_str_equal (meanings[i].cause, cause))
@@ -87,7 +87,7 @@
     printf (", %" JSON_INTEGER_FORMAT " of %" JSON_INTEGER_FORMAT " parts missing",
             ctl_json_integer (line, "missing"), ctl_json_integer (line, "parts"));
   printf ("\n    cause %s: %s\n", ctl_json_string (line, "cause"),
-          S_meaning (ctl_json_string (line, "cause")));
+          S_cause_description (ctl_json_string (line, "cause")));
   S_print_calls (line, targets);
 }
 
--- a/src/daemon.h
+++ b/src/daemon.h
@@ -12,5 +12,5 @@
 #include "settings.h"
 
 /* Runs until SIGTERM or SIGINT starts a graceful shutdown, and returns when that is complete.
- * Returns an error immediately if a task can't start. */
+ * Returns an error immediately if a task cannot start. */
 MrStatus mr_daemon_run (const MrSettings *settings);
--- a/src/fingerprint.h
+++ b/src/fingerprint.h
@@ -3,7 +3,7 @@
  * The attempts of one request differ in ids and deadlines, but have the same content.  A
  * fingerprint is a keyed hash of the content.  It identifies equal contents in logs, between
  * daemons and in the store without revealing them.  All daemons of a deployment use the same key,
- * which is kept across restarts.  It is not encryption: whoever knows the key can check a guessed
+ * which is kept across restarts.  It is not encryption: anyone with the key can check a guessed
  * content. */
 #pragma once
 
--- a/src/json_page.h
+++ b/src/json_page.h
@@ -18,7 +18,7 @@
   json_t *(*salvage) (const char *list, MrText malformed);
 } MrJsonPageFormat;
 
-/* Returns the page as a JSON object, or NULL if @text is no object or the end of its list can't be
+/* Returns the page as a JSON object, or NULL if @text is no object or the end of its list cannot be
  * found.  Adds the number of malformed elements to @malformed_count. */
 json_t *mr_json_page_load (const MrJsonPageFormat *format, MrText text, guint *malformed_count);
 
--- a/src/member.h
+++ b/src/member.h
@@ -33,7 +33,7 @@
   MrMemberState state;
   guint32 state_version; /* raised by the member itself with each change that it announces */
   gboolean busy;         /* starting, or refusing load: not to be named to callers */
-  gboolean platform_unreachable; /* the member can't reach the platform */
+  gboolean platform_unreachable; /* the member cannot reach the platform */
   guint32 capacity;              /* CPU available to it, in thousandths of a core */
   guint32 load;                  /* CPU used by requests, in the same unit; in coarse steps */
 } MrMember;
--- a/src/membership.c
+++ b/src/membership.c
@@ -245,7 +245,7 @@
       return;
     }
   ack.updates_acked = peer->received_seq;
-  /* A sender whose record here differs must receive it, or it can't refute it. */
+  /* A sender whose record here differs must receive it, or it cannot refute it. */
   if (peer->member.state != ping->from.state || peer->member.incarnation != ping->from.incarnation)
     updates[ack.update_count++] = peer->member;
   if (ping->members_request == MR_MEMBERS_REQUEST_SAMPLE)
--- a/src/membership_links.c
+++ b/src/membership_links.c
@@ -11,7 +11,7 @@
 enum
 {
   /* Members of a failure domain that send object versions to the other domains.  Each domain
-   * reads the platform itself, so bridges matter only while it can't; there are two because
+   * reads the platform itself, so bridges matter only while it cannot; there are two because
    * one may be about to fail. */
   BRIDGES = 2,
   /* Domains that bridges reach; others are synchronised by the digests in heartbeats. */
--- a/src/order_handler.c
+++ b/src/order_handler.c
@@ -327,7 +327,7 @@
   MrTime deadline = mr_now () + message->remaining_ms * MR_MS;
   MrOrderDecision decision = S_decide (handler, &requester, service, mr_text (message->ticket),
                                        mr_text_of (message->body), deadline);
-  /* Issued by an earlier process with the name of this daemon, whose records are gone. */
+  /* Issued by an earlier process with the name of this daemon, whose records no longer exist. */
   if (decision.action == MR_ORDER_ACTION_FORWARD)
     S_answer (handler, &requester, MR_RESULT_HOME_GONE, 0, (MrText){ 0 });
 }
--- a/src/order_records.h
+++ b/src/order_records.h
@@ -3,7 +3,7 @@
  * Only the process that issued a ticket may dispatch it, and it keeps in memory whether it did.
  * No clock of another process, no lease and no store is involved, so a paused process, a
  * network partition or an outage of the platform cannot make an order run twice.  Once the
- * process is gone, its tickets are never dispatched again.  Alternatives that were considered:
+ * process has ended, its tickets are never dispatched again.  Alternatives that were considered:
  * docs/design/at-most-once.md. */
 #pragma once
 
--- a/src/peer_link.h
+++ b/src/peer_link.h
@@ -6,8 +6,8 @@
  * to the same few seeds, where an open connection takes 28 kB per requester, and a separate
  * connection for the reply 32 kB more.
  *
- * Messages may be lost and are not resent here.  ZeroMQ's heartbeats detect a connection that has
- * gone silent and replace it. */
+ * Messages may be lost and are not resent here.  ZeroMQ's heartbeats detect a connection that no
+ * longer responds and replace it. */
 #pragma once
 
 #include "clock.h"
--- a/src/recent_answers.c
+++ b/src/recent_answers.c
@@ -5,7 +5,7 @@
   /* 96 kB in total.  A daemon answers some 140 requests a second in the largest fleet, and each
    * answer renews the entry of its content. */
   ROW_COUNT = 1024,
-  ROW_ENTRIES = 4, /* per row, so that two contents in one row don't evict each other */
+  ROW_ENTRIES = 4, /* per row, so that two contents in one row do not evict each other */
 };
 
 /* Longer than a group of targets takes to crash, shorter than the rollout of a release that crashes
--- a/src/registry.c
+++ b/src/registry.c
@@ -71,8 +71,8 @@
 /* Detects entries of a target's previous process. A target may restart under the same id, and
  * a write that its old process sent to the platform may arrive after the new process's entry.
  * If that write won, callers would be sent to a process that has exited until the entry
- * changes again. The start time in the entry decides, whatever the order of arrival and
- * whoever offers it. An entry without a start time, under an id that has had one, does not
+ * changes again. The start time in the entry decides, regardless of the order of arrival
+ * and of the sender. An entry without a start time, under an id that has had one, does not
  * identify any process. */
 static gboolean
 S_is_of_earlier_process (const MrObject *known, MrText body, guint64 start)
--- a/src/relay.h
+++ b/src/relay.h
@@ -132,8 +132,8 @@
   /* Opens a connection to find out whether the target is alive; the result goes to
    * mr_relay_probe_end (). */
   void (*probe) (MrRelayHost *host, const MrTargetState *target);
-  /* Replaces the idle connections of @target.  If the target has been removed, they are closed for
-   * good, and pending probes and connection attempts are dropped. */
+  /* Replaces the idle connections of @target.  If the target has been removed, they are closed
+   * permanently, and pending probes and connection attempts are dropped. */
   void (*reconnect) (MrRelayHost *host, const MrTargetState *target);
   /* Shares new evidence of targets that crashed under @fingerprint with the other daemons.  NULL if
    * there are none. */
@@ -297,8 +297,8 @@
 /* Time reserved for that before each soft deadline. */
 MrTime mr_relay_response_overhead (const MrRelay *relay);
 
-/* The caller has gone: there will be no verdict.  Idempotent calls are dropped, others run to their
- * end. */
+/* The caller has disconnected: there is no verdict.  Idempotent calls are dropped, others run to
+ * their end. */
 void mr_relay_abandon_request (MrRelay *relay, MrTime now, MrActiveRequest *request);
 
 /* Looks up the open call @id; FALSE if there is none. */
--- a/src/relay_admit.c
+++ b/src/relay_admit.c
@@ -216,7 +216,7 @@
   return fraction > 0 && g_rand_double (relay->random) < fraction;
 }
 
-/* Why the request can't be served; MR_CAUSE_NONE if it can.  Also sets the parts that may be left
+/* Why the request cannot be served; MR_CAUSE_NONE if it can.  Also sets the parts that may be left
  * out. */
 static MrCause
 S_check_capacity (MrActiveRequest *request, MrTime now, MrTime *wait)
--- a/src/relay_crash_check.c
+++ b/src/relay_crash_check.c
@@ -17,7 +17,7 @@
 
 /* Time limit for confirming a crash, enough for round trips to another region from a busy VM. A
  * live target answers sooner.  A probe of a VM without power or network hangs until this limit and
- * yields no evidence; calls to such a VM don't break either. */
+ * yields no evidence; calls to such a VM do not break either. */
 static const MrTime CRASH_CHECK_TIMEOUT = 100 * MR_MS;
 
 /* A target whose entry was removed as planned keeps serving for seconds.  A call that breaks within
--- a/src/relay_private.h
+++ b/src/relay_private.h
@@ -267,7 +267,7 @@
 void mr_relay_content_answered (MrRelay *relay, MrTime now, MrFingerprint fingerprint);
 /* Decides whether and how the request may be sent, given the evidence against its content. */
 MrCause mr_relay_admit_content (MrRelay *relay, MrTime now, MrActiveRequest *request);
-/* The request is finished, or its caller has gone. */
+/* The request is finished, or its caller has disconnected. */
 void mr_relay_detach_content (MrRelay *relay, MrActiveRequest *request);
 
 /* Searches that are sent to one shard first (relay_stage.c). */
--- a/src/relay_request.c
+++ b/src/relay_request.c
@@ -117,8 +117,7 @@
   MrRelayTask *task = RELAY_TASK_OF (host, relay_host);
   const Request *request = call->host_request;
   MrTime now = mr_now ();
-  /* Rounded down: a target that gets too long a deadline keeps working after the caller has gone.
-   */
+  /* Rounded down: with too long a deadline the target would keep working after the caller's. */
   gint64 ms_left = MAX ((call->deadline - now) / MR_MS, 1);
   GString *bytes = g_string_sized_new (request->head->len + request->body->len + 128);
   g_string_append_len (bytes, request->head->str, (gssize) request->head->len);
--- a/src/relay_targets.c
+++ b/src/relay_targets.c
@@ -10,7 +10,7 @@
 
 static const double MEAN_WEIGHT = 0.05;
 /* Growth of a route's lowest median with each update: about 1 % a second at 600 calls a second, so
- * that it follows a route that has become slower for good. */
+ * that it follows a route that has become slower permanently. */
 static const double LOWEST_MEDIAN_GROWTH = 1.0005;
 
 static void
@@ -71,7 +71,7 @@
       mr_relay_send_queued_to (relay, now, target);
       return;
     }
-  /* Parts that were queued for this target alone can't be sent any more. */
+  /* Parts that were queued for this target alone cannot be sent any more. */
   for (guint i = 0; i < target->groups->len; i++)
     mr_relay_send_queued (relay, now, g_ptr_array_index (target->groups, i));
 }
@@ -112,7 +112,7 @@
     mr_relay_send_queued (relay, now, g_ptr_array_index (groups, i));
 }
 
-/* Ends the calls in flight to a process that is gone as broken, since waiting for their connections
+/* Ends the calls in flight to a process that has ended as broken: waiting for their connections
  * to time out would delay their requests.  Calls that are not idempotent may have run. */
 static void
 S_end_calls_as_broken (MrRelay *relay, MrTime now, MrTargetState *state)
--- a/src/relay_task.h
+++ b/src/relay_task.h
@@ -26,7 +26,7 @@
   void *user;
 } MrRelayTaskInfo;
 
-/* NULL with a status message if it can't listen on one of its ports. */
+/* NULL with a status message if it cannot listen on one of its ports. */
 MrRelayTask *mr_relay_task_new (const MrRelayTaskInfo *info);
 void mr_relay_task_free (MrRelayTask *task);
 void mr_relay_task_connect (MrRelayTask *task, MrMailbox *control);
--- a/src/result.h
+++ b/src/result.h
@@ -13,7 +13,7 @@
   MR_RESULT_DONE = 102,     /* the order ran exactly once */
 
   MR_RESULT_OVERLOADED = 200,     /* refused before anything was sent */
-  MR_RESULT_DEADLINE = 201,       /* the deadline can't be met; nothing was sent */
+  MR_RESULT_DEADLINE = 201,       /* the deadline cannot be met; nothing was sent */
   MR_RESULT_NOT_READY = 202,      /* this daemon has no configuration yet */
   MR_RESULT_LEAVING = 203,        /* this daemon is stopping */
   MR_RESULT_NO_TARGET = 204,      /* no usable target; nothing was sent */
--- a/src/watch.c
+++ b/src/watch.c
@@ -6,7 +6,7 @@
 static const MrTime RETRY_DELAY_MAX = 1 * MR_SECOND;
 /* Interval between reads of daemons that do not watch. */
 static const MrTime READ_INTERVAL = 180 * MR_SECOND;
-/* Members of a failure domain that can't reach the platform and are skipped as watchers.  If
+/* Members of a failure domain that cannot reach the platform and are skipped as watchers.  If
  * there are more, the platform itself is down.  Without this limit the role moved on to each of
  * 295 daemons in turn, and all of them called until it was back: 3,800 calls in an outage of
  * 6 s. */
@@ -38,7 +38,7 @@
 typedef struct
 {
   guint reachable; /* alive and reach the platform */
-  guint skipped;   /* alive but don't reach it */
+  guint skipped;   /* alive but do not reach it */
 } RankedAbove;
 
 /* Counts the members of @domain that rank above @own, up to @limit and to the limit of skipped
