--- a/src/control_platform.c
+++ b/src/control_platform.c
@@ -11,7 +11,7 @@
   RELAY_WATCH_WAIT_MS = 28000,
   /* For the first of all relays that watch. The store never answers a watch that it accepted
    * during an outage. When a change had ended all watches at such a moment, no relay learned
-   * of the next change for half a minute. With one short watch it is noticed within 6 s, at 11
+   * of the next change for half a minute. With one short watch it is detected within 6 s, at 11
    * more calls per object kind and 45 s. */
   FIRST_WATCH_WAIT_MS = 4000,
 };
--- a/src/membership.h
+++ b/src/membership.h
@@ -98,9 +98,9 @@
 /* @load is in thousandths of a core. */
 void mr_membership_set_load (MrMembership *membership, MrTime now, guint32 load);
 
-/* Returns a new list of all known members, including dead ones until they are forgotten. */
+/* Returns a new list of all known members, including dead ones until they are removed. */
 MrMemberList *mr_membership_list (const MrMembership *membership);
-/* Visits all known members except the local one, including dead ones until they are forgotten. */
+/* Visits all known members except the local one, including dead ones until they are removed. */
 void mr_membership_foreach (const MrMembership *membership,
                             void (*visit) (const MrMember *member, void *user),
                             void *user);
--- a/src/relay_load.c
+++ b/src/relay_load.c
@@ -7,7 +7,7 @@
  * LEAVE_OUT_LOAD_FULL, but not beyond LEAVE_OUT_FRACTION_MAX.  If shards have lost targets until
  * one is asked for 110 % of its slots, sending every part makes every answer late (a tenth of the
  * utility); each part left out costs its answer a fifth and keeps the others in time.  If all parts
- * were left out, the end of the overload would not be noticed. */
+ * were left out, the end of the overload would not be detected. */
 static const double LEAVE_OUT_LOAD_MIN = 0.45;
 static const double LEAVE_OUT_LOAD_FULL = 1.1;
 static const double LEAVE_OUT_FRACTION_MAX = 0.85;
--- a/src/relay_request.c
+++ b/src/relay_request.c
@@ -16,7 +16,7 @@
   STATUS_GATEWAY_TIMEOUT = 504,
 };
 
-/* How long it is one daemon's turn to try a content: many times the difference between the daemons'
+/* Period in which only one daemon may try a content: many times the difference between the daemons'
  * clocks. */
 static const MrTime TRIAL_TURN = 8 * MR_SECOND;
 /* A daemon that has just started has its configuration within this time. */
--- a/src/relay_stage.c
+++ b/src/relay_stage.c
@@ -3,7 +3,8 @@
  * A search over ten shards is sent to ten targets at once: if its content crashes its targets, all
  * ten have started it when the first one crashes.  For some time after such a content was found,
  * more of the kind are expected: a search whose content has not been answered recently is sent to
- * one shard, and to the others after its first answer.  That costs it the time of one call. */
+ * one shard, and to the others after its first answer.  This delays the search by the time of one
+ * call. */
 #include "relay_private.h"
 
 #include "log.h"
--- a/src/replication.c
+++ b/src/replication.c
@@ -70,7 +70,7 @@
   gboolean complete;
   gboolean synced;
   gboolean object_stored; /* an object was stored since the last heartbeat digest */
-  MrTime last_stored;     /* when such a store was last noticed */
+  MrTime last_stored;     /* when such a store was last detected */
 };
 
 static void
@@ -191,8 +191,8 @@
   return MR_NEVER;
 }
 
-/* Once the last missing object of a peer's full list has arrived, this daemon knows everything
- * that the peer knows. */
+/* Once the last missing object of a peer's full list has arrived, this daemon holds everything
+ * that the peer holds. */
 static void
 S_record_arrival (MrReplication *replication, MrObjectKind kind, MrText name)
 {
--- a/src/stream.c
+++ b/src/stream.c
@@ -13,7 +13,7 @@
   LISTEN_BACKLOG = 512,
   /* A lost idle connection is detected after about KEEPALIVE_IDLE_S + KEEPALIVE_COUNT seconds,
    * well within the few seconds in which a change of configuration or a target that is leaving has
-   * to be noticed. */
+   * to be detected. */
   KEEPALIVE_IDLE_S = 1,
   KEEPALIVE_INTERVAL_S = 1,
   KEEPALIVE_COUNT = 2,
