--- a/src/cold_share.h
+++ b/src/cold_share.h
@@ -4,8 +4,8 @@
  * without coordination.  Each failure domain gets an equal part, whether it is reachable or not.
  * Within a domain the part is divided equally between the entry daemons (those that callers are
  * directed to) that have been entries for long enough that a daemon which was replaced as an
- * entry has noticed, and that see more than half of their domain's members alive.  A daemon that
- * is isolated, partitioned or has just started has a share of zero; its requests use other
+ * entry has detected this, and that see more than half of their domain's members alive.  A daemon
+ * that is isolated, partitioned or has just started has a share of zero; its requests use other
  * targets.  Time and membership are passed in. */
 #pragma once
 
--- a/src/relay_admit.c
+++ b/src/relay_admit.c
@@ -12,7 +12,7 @@
  * SHED_LOAD_FULL, but not beyond SHED_FRACTION_MAX.  Where a shard that every answer needs is asked
  * for 110 % of its slots, all answers are late and have a tenth of their utility; refusing a few
  * requests at once, with a Retry-After, keeps the others in time.  If all were refused, the end of
- * the overload would not be noticed. */
+ * the overload would not be detected. */
 static const double SHED_LOAD_MIN = 0.5;
 static const double SHED_LOAD_FULL = 0.9;
 static const double SHED_FRACTION_MAX = 0.9;
