--- a/src/control_start.c
+++ b/src/control_start.c
@@ -5,8 +5,8 @@
  * request that makes targets exit was sent to one target of each shard at once (three of three
  * in the process_quarantine_starts test). The relay therefore reads everything together and
  * defers its offers, to itself and to its peers, until quarantines and evacuations are known.
- * Whoever holds a configuration has received the restrictions before, from the store or from a
- * peer.
+ * A daemon that holds a configuration has already received the restrictions, from the store or
+ * from a peer.
  *
  * If the store lists everything except the restrictions, the deferral ends after DEFERRAL_MAX.
  * It does not end if the store merely stops answering after it has listed the routes: a relay
@@ -68,7 +68,7 @@
 }
 
 static void
-S_continue_without (MrControlTask *task)
+S_continue_without_restrictions (MrControlTask *task)
 {
   if (task->deferral_over)
     return;
@@ -120,7 +120,7 @@
     task->defer_until = now + DEFERRAL_MAX;
   if (!others_read || now < task->defer_until)
     return FALSE;
-  S_continue_without (task);
+  S_continue_without_restrictions (task);
   return TRUE;
 }
 
@@ -165,7 +165,7 @@
       return;
     }
   if (S_is_deferring (task))
-    S_continue_without (task);
+    S_continue_without_restrictions (task);
   task->deferral_over = TRUE;
   for (guint i = 0; i < task->deferred_offers->len; i++)
     {
--- a/src/membership.c
+++ b/src/membership.c
@@ -10,7 +10,7 @@
 static const guint SUSPECT_AFTER_MISSES = 2;
 /* Time for a suspect to refute the suspicion: several rounds of heartbeats. */
 static const MrTime SUSPICION_TIMEOUT = 4 * MR_SECOND;
-/* Dead members are kept in the updates for this long, then forgotten. */
+/* Dead members are kept in the updates for this long, then removed. */
 static const MrTime DEAD_RETENTION = 60 * MR_SECOND;
 /* Interval between queries for members that are not in the view, to heal partitions. */
 static const MrTime JOIN_INTERVAL = 10 * MR_SECOND;
@@ -245,7 +245,7 @@
       return;
     }
   ack.updates_acked = peer->received_seq;
-  /* A sender whose record here differs must receive it, or it can't refute it. */
+  /* A sender whose record here differs must receive it, or it cannot refute it. */
   if (peer->member.state != ping->from.state || peer->member.incarnation != ping->from.incarnation)
     updates[ack.update_count++] = peer->member;
   if (ping->members_request == MR_MEMBERS_REQUEST_SAMPLE)
--- a/src/relay_admit.c
+++ b/src/relay_admit.c
@@ -12,7 +12,7 @@
  * SHED_LOAD_FULL, but not beyond SHED_FRACTION_MAX.  Where a shard that every answer needs is asked
  * for 110 % of its slots, all answers are late and have a tenth of their utility; refusing a few
  * requests at once, with a Retry-After, keeps the others in time.  If all were refused, the end of
- * the overload would not be noticed. */
+ * the overload would not be detected. */
 static const double SHED_LOAD_MIN = 0.5;
 static const double SHED_LOAD_FULL = 0.9;
 static const double SHED_FRACTION_MAX = 0.9;
@@ -175,8 +175,8 @@
  * the square root of the ratio.  Otherwise requests with 80 ms left would all be refused because of
  * the queue of those with 200 ms before any of the latter is.  At three times the usual load, on
  * the virtual clock, the two kinds of requests reach 0.95 and 0.46 of their utility without this
- * factor, and 0.88 and 0.68 with it.  With the plain ratio, the less urgent kind came off worse
- * where a shard was over capacity (0.80 and 0.89). */
+ * factor, and 0.88 and 0.68 with it.  With the plain ratio, the less urgent kind got the lower
+ * utility where a shard was over capacity (0.80 and 0.89). */
 static double
 S_critical_shard_load (const MrActiveRequest *request, MrTime now)
 {
@@ -216,7 +216,7 @@
   return fraction > 0 && g_rand_double (relay->random) < fraction;
 }
 
-/* Why the request can't be served; MR_CAUSE_NONE if it can.  Also sets the parts that may be left
+/* Why the request cannot be served; MR_CAUSE_NONE if it can.  Also sets the parts that may be left
  * out. */
 static MrCause
 S_check_capacity (MrActiveRequest *request, MrTime now, MrTime *wait)
--- a/src/relay_request.c
+++ b/src/relay_request.c
@@ -8,15 +8,15 @@
 {
   STATUS_OK = 200,
   STATUS_NOT_FOUND = 404,
-  /* For a quarantined request.  503 and 429 invite the caller to retry, 4xx blames the caller, and
-   * 502 and 504 are for failed attempts. */
+  /* For a quarantined request.  503 and 429 invite the caller to retry, 4xx reports a fault of the
+   * caller, and 502 and 504 are for failed attempts. */
   STATUS_QUARANTINED = 500,
   STATUS_BAD_GATEWAY = 502,
   STATUS_UNAVAILABLE = 503,
   STATUS_GATEWAY_TIMEOUT = 504,
 };
 
-/* How long it is one daemon's turn to try a content: many times the difference between the daemons'
+/* Period in which only one daemon may try a content: many times the difference between the daemons'
  * clocks. */
 static const MrTime TRIAL_TURN = 8 * MR_SECOND;
 /* A daemon that has just started has its configuration within this time. */
@@ -117,7 +117,7 @@
   MrRelayTask *task = RELAY_TASK_OF (host, relay_host);
   const Request *request = call->host_request;
   MrTime now = mr_now ();
-  /* Rounded down: a target that is told too much time keeps working after the caller has gone. */
+  /* Rounded down: with too long a deadline the target would keep working after the caller's. */
   gint64 ms_left = MAX ((call->deadline - now) / MR_MS, 1);
   GString *bytes = g_string_sized_new (request->head->len + request->body->len + 128);
   g_string_append_len (bytes, request->head->str, (gssize) request->head->len);
@@ -413,7 +413,7 @@
   MrQueuedRequest queued = {
     .caller = caller, .request = in, .first_byte_at = began, .received_at = now
   };
-  /* Without a configuration an unknown route can't be told from a known one. */
+  /* Without a configuration an unknown route cannot be distinguished from a known one. */
   if (mr_relay_task_ready (task))
     S_begin_request (task, caller, in, began, 0);
   else if (mr_startup_queue_push (task->early_requests, now, &queued))
@@ -447,7 +447,7 @@
 }
 
 static void
-S_on_caller_gone (MrCallerServerHost *host, MrCaller *caller)
+S_on_disconnected (MrCallerServerHost *host, MrCaller *caller)
 {
   MrRelayTask *task = RELAY_TASK_OF (host, caller_host);
   Request *request = mr_caller_user (caller);
@@ -467,7 +467,7 @@
 mr_relay_request_init (MrRelayTask *task)
 {
   task->caller_host =
-      (MrCallerServerHost){ .request = S_on_request, .disconnected = S_on_caller_gone };
+      (MrCallerServerHost){ .request = S_on_request, .disconnected = S_on_disconnected };
   task->client_host = (MrTargetClientHost){ .call_ended = S_on_call_ended, .probed = S_on_probed };
   task->relay_host = (MrRelayHost){
     .send_call = S_on_send_call,
--- a/src/relay_task.h
+++ b/src/relay_task.h
@@ -10,8 +10,8 @@
 
 enum
 {
-  /* One in this many complete answers without hedges or retries is logged; all other results
-   * are. */
+  /* Of the complete answers without hedges or retries, one in this many is logged; all other
+   * results are logged. */
   MR_SUCCESS_LOG_INTERVAL = 50,
 };
 
@@ -26,7 +26,7 @@
   void *user;
 } MrRelayTaskInfo;
 
-/* NULL with a status message if it can't listen on one of its ports. */
+/* NULL with a status message if it cannot listen on one of its ports. */
 MrRelayTask *mr_relay_task_new (const MrRelayTaskInfo *info);
 void mr_relay_task_free (MrRelayTask *task);
 void mr_relay_task_connect (MrRelayTask *task, MrMailbox *control);
